--- a/cmd/internal/daemon/caches.go
+++ b/cmd/internal/daemon/caches.go
@@ -60,7 +60,7 @@
 
 // noteBackend takes in what a back end says of itself in an answer that is to no request of a caller.
 func (w *Daemon) noteBackend(id identity.BackendID, notice backendpool.Notice) {
-	if w.backends.Note(clock.Now(), id, notice) {
+	if w.backends.RecordNotice(clock.Now(), id, notice) {
 		w.part("backends").WithField("backend", id).Warn("A back end drains, asks for no requests, or changes how many it takes.")
 	}
 }
--- a/cmd/internal/daemon/wire.go
+++ b/cmd/internal/daemon/wire.go
@@ -170,7 +170,7 @@
 		Link: w.link, Topology: w.topology, Crossing: crossing, Table: w.store, Log: w.part("quarantine"),
 		Reads: func() bool { return w.directory.ReadsForAll() }, Era: w.store.Era,
 	})
-	w.backends.OnChecked(w.crashes.Checked)
+	w.backends.OnReachability(w.crashes.Checked)
 	w.backends.OnEnded(w.pool.Forget)
 	w.wireDirectory(traffic)
 	w.wireCaches()
@@ -230,7 +230,7 @@
 	})
 	w.cachesIn = cachewatch.NewWatcher(cachewatch.Options{
 		Source: w.runners, Targets: w.watchedBackends, Rest: cacheRest, Observe: w.observeCache, Log: w.part("caches"),
-		Unreached: func(target cachewatch.Target) { w.backends.Suspect(clock.Now(), identity.BackendID(target.Name)) },
+		Unreached: func(target cachewatch.Target) { w.backends.RequestProbe(clock.Now(), identity.BackendID(target.Name)) },
 	})
 }
 
@@ -240,7 +240,7 @@
 		Link: w.link, Others: w.members.Others, Pool: w.backends, Memory: w.memory, Presence: w.presence,
 		Zone: w.members.Zone, Own: w.settings.Zone, Distances: w.regions, Log: w.part("loads"),
 	})
-	w.backends.OnListed(func(changed []backendpool.Backend, gone []identity.BackendID) {
+	w.backends.OnListChanged(func(changed []backendpool.Backend, gone []identity.BackendID) {
 		w.cacheTargets.Listed(changed, gone)
 		w.homes.Listed()
 	})
--- a/internal/administration/tables.go
+++ b/internal/administration/tables.go
@@ -72,8 +72,8 @@
 			Backend: state.Backend.ID.Name(), Incarnation: int(state.Backend.ID.Incarnation()),
 			Service: state.Backend.Service, Zone: state.Backend.Zone, Address: state.Backend.Address,
 			Software: state.Backend.Software,
-			Models:   versionsText(state.Versions), Leaving: state.Leaving, Backoff: state.Backoff, Refusing: state.Refusing, Doubted: state.Doubted,
-			Running: state.InFlight, Own: state.Own, ReadingTokens: state.Reading,
+			Models:   versionsText(state.Versions), Leaving: state.Leaving, Backoff: state.Backoff, Refusing: state.Refusing, Doubted: state.Ejected,
+			Running: state.InFlight, Own: state.OwnInFlight, ReadingTokens: state.Reading,
 		})
 	}
 	return rows
@@ -181,7 +181,7 @@
 		if state.Leaving {
 			row.Leaving++
 		}
-		if state.Doubted {
+		if state.Ejected {
 			row.Doubted++
 		}
 	}
--- a/internal/backendlimit/backendlimit.go
+++ b/internal/backendlimit/backendlimit.go
@@ -63,14 +63,14 @@
 		return nil, true
 	}
 	if limit.PerSecond >= mostRate {
-		ticket.Granted(clock.Now())
+		ticket.RecordGrant(clock.Now())
 		return nil, true
 	}
 	grant := k.limiter.Take(ctx, quota.OwnerOfBackend(ticket.Backend.ID), bucketOf(limit), requestCost)
 	k.decided(grant)
 	now := clock.Now()
 	if grant.Granted {
-		ticket.Granted(now)
+		ticket.RecordGrant(now)
 		return &grant, true
 	}
 	roomAt := now.Add(grant.Wait)
@@ -78,7 +78,7 @@
 		roomAt = now.Add(min(grant.Wait, ownPartWait))
 	}
 	spread := time.Duration(rand.Float64() * float64(k.daemons()) * float64(askSpacing))
-	ticket.NoRoom(roomAt.Add(spread), roomAt)
+	ticket.RecordGrantRefused(roomAt.Add(spread), roomAt)
 	return nil, false
 }
 
--- a/internal/core/backendpool/backend.go
+++ b/internal/core/backendpool/backend.go
@@ -39,11 +39,11 @@
 	ResultRejected
 	// ResultFailed is an answer that was missing, broken or a failure.
 	ResultFailed
-	// ResultCut means that the connection was lost after the request was sent: the back end
+	// ResultConnectionLost means that the connection was lost after the request was sent: the back end
 	// may have ended.
-	ResultCut
-	// ResultUnreached means that there was no connection.
-	ResultUnreached
+	ResultConnectionLost
+	// ResultUnreachable means that there was no connection.
+	ResultUnreachable
 	// ResultReplaced means that another back end has the address now.
 	ResultReplaced
 	// ResultAbandoned means that the caller left or ran out of time; it tells
@@ -152,14 +152,14 @@
 		e.failureRate *= 1 - failureWeight
 		e.ejection = 0
 		return false
-	case ResultUnreached:
+	case ResultUnreachable:
 		e.suspicion.unreached, e.suspicion.own = true, true
 		return e.eject(now, shortestEjection)
 	case ResultReplaced:
 		e.ejection = 0
 		return e.eject(now, replacedEjection)
-	case ResultFailed, ResultCut:
-		if result == ResultCut {
+	case ResultFailed, ResultConnectionLost:
+		if result == ResultConnectionLost {
 			e.suspicion.cutAt = now
 		}
 		e.failureRate = e.failureRate*(1-failureWeight) + failureWeight
@@ -192,9 +192,9 @@
 		return "rejected"
 	case ResultFailed:
 		return "failed"
-	case ResultCut:
+	case ResultConnectionLost:
 		return "cut"
-	case ResultUnreached:
+	case ResultUnreachable:
 		return "unreached"
 	case ResultReplaced:
 		return "replaced"
--- a/internal/core/backendpool/backoff.go
+++ b/internal/core/backendpool/backoff.go
@@ -64,9 +64,9 @@
 	backoff.recovering = !took || backoff.active(now)
 }
 
-// BackAt is when the first back end of a service takes requests again, where all that don't drain have asked for
+// NextAvailableAt is when the first back end of a service takes requests again, where all that don't drain have asked for
 // none or have no room under their limits; the zero time otherwise.
-func (p *Pool) BackAt(now time.Time, service identity.ServiceName) time.Time {
+func (p *Pool) NextAvailableAt(now time.Time, service identity.ServiceName) time.Time {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var first time.Time
--- a/internal/core/backendpool/candidates.go
+++ b/internal/core/backendpool/candidates.go
@@ -53,7 +53,7 @@
 			found.full++
 		default:
 			found.sound = append(found.sound, candidate)
-			if (p.othersWhole || query.Among != nil) && candidate.busy(query) {
+			if (p.othersWhole || query.CandidateKeys != nil) && candidate.busy(query) {
 				found.busy++
 			}
 		}
@@ -92,13 +92,13 @@
 	if found.isDraining() || found.isOver() || found.backsOff(now) || slices.Contains(query.Exclude, found.backend.ID) {
 		return false
 	}
-	if found.outOfRoom(now) || (query.Unlimited && found.isLimited()) {
+	if found.outOfRoom(now) || (query.ExcludeLimited && found.isLimited()) {
 		return false
 	}
 	if !query.admits(found) {
 		return false
 	}
-	if query.Among != nil && !slices.Contains(query.Among, found.key) {
+	if query.CandidateKeys != nil && !slices.Contains(query.CandidateKeys, found.key) {
 		return false
 	}
 	if query.Model == "" || query.BeginBy == nil {
--- a/internal/core/backendpool/choice.go
+++ b/internal/core/backendpool/choice.go
@@ -71,7 +71,7 @@
 		return chooseForTrial(candidates, query)
 	}
 	sampled := candidates
-	if query.Among == nil {
+	if query.CandidateKeys == nil {
 		sampled = p.sample(candidates)
 	}
 	if query.Model == "" {
--- a/internal/core/backendpool/doubt.go
+++ b/internal/core/backendpool/doubt.go
@@ -14,8 +14,8 @@
 	maximumDoubts = 32
 )
 
-// Doubt says that a back end could not be reached, or that another has its address.
-type Doubt struct {
+// FailureReport says that a back end could not be reached, or that another has its address.
+type FailureReport struct {
 	// Key is the hash of the back end's ID.
 	Key uint64
 	// Replaced is set when another back end has the address.
@@ -24,17 +24,17 @@
 
 // noteDoubt leaves a doubt to be told. The caller holds the mutex.
 func (p *Pool) noteDoubt(found *entry, result Result) {
-	if result == ResultUnreached {
+	if result == ResultUnreachable {
 		p.noteFinding(Finding{Key: found.key, Unreached: true})
 	}
-	told := result == ResultUnreached || result == ResultReplaced
+	told := result == ResultUnreachable || result == ResultReplaced
 	if told && len(p.doubts) < maximumDoubts {
-		p.doubts = append(p.doubts, Doubt{Key: found.key, Replaced: result == ResultReplaced})
+		p.doubts = append(p.doubts, FailureReport{Key: found.key, Replaced: result == ResultReplaced})
 	}
 }
 
-// Doubts returns what other daemons were not told of yet, and counts it as told.
-func (p *Pool) Doubts() []Doubt {
+// TakeFailureReports returns what other daemons were not told of yet, and counts it as told.
+func (p *Pool) TakeFailureReports() []FailureReport {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	doubts := p.doubts
@@ -42,10 +42,10 @@
 	return doubts
 }
 
-// HearDoubts takes in what another daemon tells. Who has an address is certain; that
+// ReceiveFailureReports takes in what another daemon tells. Who has an address is certain; that
 // a back end is out of reach is believed of two daemons, unless it has just answered
 // this one.
-func (p *Pool) HearDoubts(now time.Time, from string, doubts []Doubt) {
+func (p *Pool) ReceiveFailureReports(now time.Time, from string, doubts []FailureReport) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, doubt := range doubts {
@@ -56,7 +56,7 @@
 	}
 }
 
-func (e *entry) hear(now time.Time, from string, doubt Doubt) {
+func (e *entry) hear(now time.Time, from string, doubt FailureReport) {
 	if doubt.Replaced {
 		e.eject(now, replacedEjection)
 		return
--- a/internal/core/backendpool/doubt_test.go
+++ b/internal/core/backendpool/doubt_test.go
@@ -26,18 +26,18 @@
 	pool.Update(engines(3))
 	ticket := accuser.Pick(start, Query{Service: "llm", Model: "m", Home: 1})
 	accused := string(ticket.Backend.ID)
-	assert.Assert(t, ticket.Release(start, ResultUnreached))
-	doubts := accuser.Doubts()
+	assert.Assert(t, ticket.Release(start, ResultUnreachable))
+	doubts := accuser.TakeFailureReports()
 	assert.Equal(t, len(doubts), 1)
-	assert.Equal(t, len(accuser.Doubts()), 0)
+	assert.Equal(t, len(accuser.TakeFailureReports()), 0)
 
-	pool.HearDoubts(start, "one", doubts)
-	pool.HearDoubts(start, "one", doubts)
+	pool.ReceiveFailureReports(start, "one", doubts)
+	pool.ReceiveFailureReports(start, "one", doubts)
 	assert.Assert(t, pickedAll(pool, start)[accused])
 	late := start.Add(2 * accusationTime)
-	pool.HearDoubts(late, "two", doubts)
+	pool.ReceiveFailureReports(late, "two", doubts)
 	assert.Assert(t, pickedAll(pool, late)[accused])
-	pool.HearDoubts(late, "one", doubts)
+	pool.ReceiveFailureReports(late, "one", doubts)
 	assert.Assert(t, !pickedAll(pool, late)[accused])
 	assert.Assert(t, pickedAll(pool, late.Add(shortestEjection))[accused])
 
@@ -45,8 +45,8 @@
 	for _, found := range pool.byID {
 		found.heardAt = answered
 	}
-	pool.HearDoubts(answered, "one", doubts)
-	pool.HearDoubts(answered, "two", doubts)
+	pool.ReceiveFailureReports(answered, "one", doubts)
+	pool.ReceiveFailureReports(answered, "two", doubts)
 	assert.Assert(t, pickedAll(pool, answered)[accused])
 }
 
@@ -57,6 +57,6 @@
 	pool.Update(engines(3))
 	ticket := accuser.Pick(start, Query{Service: "llm", Model: "m", Home: 1})
 	ticket.Release(start, ResultReplaced)
-	pool.HearDoubts(start, "one", accuser.Doubts())
+	pool.ReceiveFailureReports(start, "one", accuser.TakeFailureReports())
 	assert.Assert(t, !pickedAll(pool, start)[string(ticket.Backend.ID)])
 }
--- a/internal/core/backendpool/ended_test.go
+++ b/internal/core/backendpool/ended_test.go
@@ -28,9 +28,9 @@
 	pool.LearnVersion(first, "m", 5)
 	ticket := pool.Pick(now, Query{Service: "s", Model: "m"})
 	assert.Equal(t, ticket.Backend.ID, first)
-	pool.Probed(now, first, false)
+	pool.RecordProbe(now, first, false)
 	var ended []identity.BackendID
-	pool.OnChecked(func(id identity.BackendID, reached bool) {
+	pool.OnReachability(func(id identity.BackendID, reached bool) {
 		assert.Assert(t, !reached)
 		ended = append(ended, id)
 	})
@@ -44,7 +44,7 @@
 	assert.Equal(t, pool.InFlight(second), 1.0)
 	pool.LearnVersion(first, "m", 9)
 	ticket.LearnVersion("m", 9)
-	ticket.Release(now, ResultCut)
+	ticket.Release(now, ResultConnectionLost)
 	assert.Equal(t, pool.InFlight(second), 1.0)
 	assert.Equal(t, pool.Holders(now, "m")[0].Version, uint64(1))
 }
@@ -68,7 +68,7 @@
 	assert.Assert(t, pool.Pick(now, Query{Service: "s"}) == nil)
 	pool.Update(livesOf(1))
 	assert.Assert(t, pool.Pick(now, Query{Service: "s"}) == nil)
-	assert.Assert(t, !pool.AnyBehind(now, "m", 2), "an ended back end is waited for")
+	assert.Assert(t, !pool.AnyOutdated(now, "m", 2), "an ended back end is waited for")
 	pool.Update(livesOf(2))
 	assert.Equal(t, pool.Pick(now, Query{Service: "s"}).Backend.ID, identity.NewBackendID("b", 2))
 }
--- a/internal/core/backendpool/finding.go
+++ b/internal/core/backendpool/finding.go
@@ -44,8 +44,8 @@
 	p.signalChange()
 }
 
-// Findings returns what this daemon has found out since the last call.
-func (p *Pool) Findings() []Finding {
+// TakeFindings returns what this daemon has found out since the last call.
+func (p *Pool) TakeFindings() []Finding {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	findings := p.findings
@@ -53,9 +53,9 @@
 	return findings
 }
 
-// HearFinding takes in, at a home of a back end, what another daemon has found out. That it is out of reach is looked
+// ReceiveFinding takes in, at a home of a back end, what another daemon has found out. That it is out of reach is looked
 // into at once: the other one may be cut off itself.
-func (p *Pool) HearFinding(now time.Time, finding Finding) {
+func (p *Pool) ReceiveFinding(now time.Time, finding Finding) {
 	if p.takeFinding(now, finding) {
 		p.suspected()
 	}
@@ -78,8 +78,8 @@
 	return finding.Unreached && p.suspectNow(now, found)
 }
 
-// Suspect has a back end probed at once, since something else shows that it may be out of reach.
-func (p *Pool) Suspect(now time.Time, id identity.BackendID) {
+// RequestProbe has a back end probed at once, since something else shows that it may be out of reach.
+func (p *Pool) RequestProbe(now time.Time, id identity.BackendID) {
 	if p.suspectListed(now, id) {
 		p.suspected()
 	}
@@ -103,8 +103,8 @@
 	return true
 }
 
-// Known returns what this daemon has found out of a back end, or was told as its home.
-func (p *Pool) Known(now time.Time, key uint64) Finding {
+// FindingOf returns what this daemon has found out of a back end, or was told as its home.
+func (p *Pool) FindingOf(now time.Time, key uint64) Finding {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	found := p.byToldKey(key)
@@ -119,8 +119,8 @@
 	}
 }
 
-// HearKnown takes in what homes of back ends know. These are left out for a moment, and used only where no other will do.
-func (p *Pool) HearKnown(now time.Time, known []Finding) {
+// ReceiveHomeFindings takes in what homes of back ends know. These are left out for a moment, and used only where no other will do.
+func (p *Pool) ReceiveHomeFindings(now time.Time, known []Finding) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, finding := range known {
--- a/internal/core/backendpool/large_test.go
+++ b/internal/core/backendpool/large_test.go
@@ -34,12 +34,12 @@
 
 // request samples back ends for a prompt and picks one of them, as a daemon among many does.
 func request(pool *Pool, now time.Time, query Query) *Ticket {
-	query.Among = pool.Sample(now, query, nil)
+	query.CandidateKeys = pool.Sample(now, query, nil)
 	return pool.Pick(now, query)
 }
 
 func promptQuery(home uint64) Query {
-	return Query{Service: "llm", Model: "m", Home: home, SharedTokens: 6000, OwnTokens: 2000, OutputTokens: 10, Limits: Limits{Places: true}}
+	return Query{Service: "llm", Model: "m", Home: home, SharedTokens: 6000, OwnTokens: 2000, OutputTokens: 10, Limits: Limits{EnforceSlots: true}}
 }
 
 // TestRequestsCostTheSameInLargeFleets counts the back ends that are looked at for a request: no more among 20,000 than
@@ -59,7 +59,7 @@
 			before := pool.visits
 			for number := range requests {
 				request(pool, start, promptQuery(uint64(number+1))).Release(start, ResultServed)
-				pool.Suspects(start)
+				pool.TakeDueProbes(start)
 				pool.Loads(256)
 			}
 			each := (pool.visits - before) / requests
@@ -198,8 +198,8 @@
 			if rapid.Bool().Draw(t, "speaks") {
 				for _, backend := range listed {
 					if backend.Slots == 1 {
-						applied.Note(now, backend.ID, Notice{Draining: true})
-						replaced.Note(now, backend.ID, Notice{Draining: true})
+						applied.RecordNotice(now, backend.ID, Notice{Draining: true})
+						replaced.RecordNotice(now, backend.ID, Notice{Draining: true})
 					}
 				}
 			}
@@ -244,12 +244,12 @@
 			}
 		})
 		b.Run(fmt.Sprintf("pick/%d", count), func(b *testing.B) {
-			query.Among = among
+			query.CandidateKeys = among
 			for b.Loop() {
 				query.Home++
 				pool.Pick(start, query).Release(start, ResultServed)
 			}
-			query.Among = nil
+			query.CandidateKeys = nil
 		})
 		b.Run(fmt.Sprintf("change/%d", count), func(b *testing.B) {
 			number := 0
@@ -279,12 +279,12 @@
 			now := start.Add(time.Duration(step) * 50 * time.Millisecond)
 			for _, pool := range pools {
 				if step%20 == 0 {
-					pool.HearDoubts(now, "one", []Doubt{{Key: rendezvous.Key(string(gone))}})
-					pool.HearDoubts(now, "other", []Doubt{{Key: rendezvous.Key(string(gone))}})
+					pool.ReceiveFailureReports(now, "one", []FailureReport{{Key: rendezvous.Key(string(gone))}})
+					pool.ReceiveFailureReports(now, "other", []FailureReport{{Key: rendezvous.Key(string(gone))}})
 				}
-				for _, suspect := range pool.Suspects(now) {
+				for _, suspect := range pool.TakeDueProbes(now) {
 					probes++
-					pool.Probed(now, suspect.ID, false)
+					pool.RecordProbe(now, suspect.ID, false)
 				}
 				if pool.byID[gone].ejected(now) {
 					leftOut++
--- a/internal/core/backendpool/limits.go
+++ b/internal/core/backendpool/limits.go
@@ -10,13 +10,13 @@
 	// own. A back end keeps cached parts in what they leave of its memory; without
 	// room for these each prompt is read anew, and all become slower.
 	Tokens float64
-	// Places is set if a request is to wait while all places of a back end are taken.
-	Places bool
+	// EnforceSlots is set if a request is to wait while all places of a back end are taken.
+	EnforceSlots bool
 }
 
 // full tells whether all places of a back end are taken.
 func (e *entry) full(query Query) bool {
-	return query.Limits.Places && e.backend.Slots > 0 && float64(e.inFlight)+e.others.InFlight >= float64(e.backend.Slots)
+	return query.Limits.EnforceSlots && e.backend.Slots > 0 && float64(e.inFlight)+e.others.InFlight >= float64(e.backend.Slots)
 }
 
 // busy tells whether a back end has too much under way for a query. One with nothing
--- a/internal/core/backendpool/limittelling.go
+++ b/internal/core/backendpool/limittelling.go
@@ -16,8 +16,8 @@
 	endedLimitTime = 10 * time.Second
 )
 
-// ToldLimit is the limit of a back end as daemons tell it.
-type ToldLimit struct {
+// BackendLimit is the limit of a back end as daemons tell it.
+type BackendLimit struct {
 	// Key is the hash of the back end's ID.
 	Key   uint64
 	Limit RequestLimit
@@ -39,22 +39,22 @@
 	p.signalChange()
 }
 
-// LimitsToTell returns the limits that other daemons are to be told of since the last call.
-func (p *Pool) LimitsToTell() []ToldLimit {
+// TakeChangedLimits returns the limits that other daemons are to be told of since the last call.
+func (p *Pool) TakeChangedLimits() []BackendLimit {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	var told []ToldLimit
+	var told []BackendLimit
 	for key := range p.limitsToTell {
 		if found := p.byKey[key]; found != nil {
-			told = append(told, ToldLimit{Key: key, Limit: found.requestLimit()})
+			told = append(told, BackendLimit{Key: key, Limit: found.requestLimit()})
 		}
 	}
 	clear(p.limitsToTell)
 	return told
 }
 
-// HearLimits takes in what another daemon knows of limits. It returns the back ends of which that was news.
-func (p *Pool) HearLimits(now time.Time, told []ToldLimit) []identity.BackendID {
+// ReceiveLimits takes in what another daemon knows of limits. It returns the back ends of which that was news.
+func (p *Pool) ReceiveLimits(now time.Time, told []BackendLimit) []identity.BackendID {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var news []identity.BackendID
@@ -72,26 +72,26 @@
 
 // KnownLimits returns what this daemon knows of the limits of some back ends, by the hashes of their IDs: those that are
 // in force, or have just ended.
-func (p *Pool) KnownLimits(now time.Time, keys []uint64) []ToldLimit {
+func (p *Pool) KnownLimits(now time.Time, keys []uint64) []BackendLimit {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	var known []ToldLimit
+	var known []BackendLimit
 	for _, key := range keys {
 		if found := p.byKey[key]; found != nil && found.tellsLimit(now) {
-			known = append(known, ToldLimit{Key: key, Limit: found.requestLimit()})
+			known = append(known, BackendLimit{Key: key, Limit: found.requestLimit()})
 		}
 	}
 	return known
 }
 
 // LimitsInForce returns all limits that are in force, or have just ended.
-func (p *Pool) LimitsInForce(now time.Time) []ToldLimit {
+func (p *Pool) LimitsInForce(now time.Time) []BackendLimit {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	var known []ToldLimit
+	var known []BackendLimit
 	for id, said := range p.said {
 		if found := p.byID[id]; said.limit.Version > 0 && found != nil && found.tellsLimit(now) {
-			known = append(known, ToldLimit{Key: found.key, Limit: said.limit.RequestLimit})
+			known = append(known, BackendLimit{Key: found.key, Limit: said.limit.RequestLimit})
 		}
 	}
 	return known
--- a/internal/core/backendpool/listing.go
+++ b/internal/core/backendpool/listing.go
@@ -18,9 +18,9 @@
 	return p.alter(changed, func() []identity.BackendID { return gone })
 }
 
-// OnListed sets what is told of each change of the list: back ends that are listed anew or as described now, and those
+// OnListChanged sets what is told of each change of the list: back ends that are listed anew or as described now, and those
 // that are gone. It must be set before the pool is used, and must not block.
-func (p *Pool) OnListed(listed func(changed []Backend, gone []identity.BackendID)) {
+func (p *Pool) OnListChanged(listed func(changed []Backend, gone []identity.BackendID)) {
 	p.listedAnew = listed
 }
 
--- a/internal/core/backendpool/load.go
+++ b/internal/core/backendpool/load.go
@@ -16,16 +16,16 @@
 	Tokens float64
 }
 
-// Plus adds two loads of one back end.
-func (l Load) Plus(other Load) Load {
+// Add adds two loads of one back end.
+func (l Load) Add(other Load) Load {
 	return Load{
 		Key: other.Key, InFlight: l.InFlight + other.InFlight,
 		Reading: l.Reading + other.Reading, Tokens: l.Tokens + other.Tokens,
 	}
 }
 
-// Empty tells whether nothing is under way.
-func (l Load) Empty() bool { return l.InFlight == 0 && l.Reading == 0 && l.Tokens == 0 }
+// IsEmpty tells whether nothing is under way.
+func (l Load) IsEmpty() bool { return l.InFlight == 0 && l.Reading == 0 && l.Tokens == 0 }
 
 // Loads returns what this daemon has under way, for at most a number of back ends,
 // ordered by key.
@@ -58,14 +58,14 @@
 	for key, load := range loads {
 		if found := p.byToldKey(key); found != nil {
 			load.Key = found.key
-			found.others = load.Plus(found.others)
+			found.others = load.Add(found.others)
 			p.loaded[found] = true
 		}
 	}
 }
 
-// NoteOthers replaces what all other daemons have under way at some back ends.
-func (p *Pool) NoteOthers(loads []Load) {
+// UpdateOthersLoad replaces what all other daemons have under way at some back ends.
+func (p *Pool) UpdateOthersLoad(loads []Load) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, load := range loads {
--- a/internal/core/backendpool/notice.go
+++ b/internal/core/backendpool/notice.go
@@ -17,7 +17,7 @@
 }
 
 // IsEmpty tells whether nothing is said.
-func (n Notice) IsEmpty() bool { return !n.Draining && n.RetryAfter == 0 && n.Limit.Word != LimitNamed }
+func (n Notice) IsEmpty() bool { return !n.Draining && n.RetryAfter == 0 && n.Limit.Kind != LimitNamed }
 
 // maximumUnlistedSaid bounds the lives of which something is remembered though they are not listed: half a megabyte at
 // some hundred bytes each, and more than end in three days of 1,200 replaced back ends.
@@ -38,8 +38,8 @@
 	noticedAt time.Time
 }
 
-// Note takes in what a back end says of itself. It returns true where that is news.
-func (p *Pool) Note(now time.Time, id identity.BackendID, notice Notice) bool {
+// RecordNotice takes in what a back end says of itself. It returns true where that is news.
+func (p *Pool) RecordNotice(now time.Time, id identity.BackendID, notice Notice) bool {
 	if notice.IsEmpty() {
 		return false
 	}
@@ -55,7 +55,7 @@
 	drained := said.drains()
 	news := said.take(now, notice)
 	limitNews := said.limit.answered(now, notice.Limit, sentAt)
-	if limitNews || notice.Limit.Word == LimitNamed {
+	if limitNews || notice.Limit.Kind == LimitNamed {
 		p.leaveLimitToTell(now, id, limitNews)
 	}
 	if found := p.byID[id]; found != nil && !drained && said.drains() {
@@ -184,9 +184,9 @@
 	return described
 }
 
-// HoldDraining keeps all listed back ends that drain by their rows draining for the rest of their lives, whatever their rows
+// PinDraining keeps all listed back ends that drain by their rows draining for the rest of their lives, whatever their rows
 // say from now on.
-func (p *Pool) HoldDraining(now time.Time) {
+func (p *Pool) PinDraining(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for id, found := range p.byID {
--- a/internal/core/backendpool/notice_test.go
+++ b/internal/core/backendpool/notice_test.go
@@ -64,7 +64,7 @@
 func (m *noticeMachine) Drains(t *rapid.T) {
 	notice := Notice{Draining: true}
 	id := lifeOf(t)
-	news := m.pool.Note(m.now, id, notice)
+	news := m.pool.RecordNotice(m.now, id, notice)
 	assert.Equal(t, news, !m.drains[id])
 	m.drains[id] = true
 }
@@ -83,11 +83,11 @@
 		notice.RetryAfter = time.Duration(rapid.IntRange(1, 3000).Draw(t, "retry after")) * time.Millisecond
 	}
 	wanted := !m.now.Before(m.backsOff[id])
-	reception := ReceptionOther
+	reception := AdmissionUnknown
 	if took {
-		reception = ReceptionTook
+		reception = AdmissionAccepted
 	}
-	news := ticket.Answered(m.now, notice, reception).Noticed
+	news := ticket.RecordResponseHeader(m.now, notice, reception).NoticeIsNew
 	assert.Equal(t, news, (notice.Draining && !m.drains[id]) || (notice.RetryAfter > 0 && wanted))
 	m.drains[id] = m.drains[id] || notice.Draining
 	if until := m.now.Add(notice.RetryAfter); notice.RetryAfter > 0 {
@@ -106,7 +106,7 @@
 
 // SaysNothing is an answer in which a life says nothing: that takes nothing back.
 func (m *noticeMachine) SaysNothing(t *rapid.T) {
-	assert.Assert(t, !m.pool.Note(m.now, lifeOf(t), Notice{}))
+	assert.Assert(t, !m.pool.RecordNotice(m.now, lifeOf(t), Notice{}))
 }
 
 // TakeOut takes back ends out of use on purpose, which is given up where no others are left.
@@ -187,7 +187,7 @@
 	if anyFree {
 		first = time.Time{}
 	}
-	assert.Equal(t, m.pool.BackAt(m.now, "llm"), first)
+	assert.Equal(t, m.pool.NextAvailableAt(m.now, "llm"), first)
 }
 
 // TestWhatLivesSayHolds draws lists and answers in any order: a life that has said that it drains gets no request,
@@ -208,9 +208,9 @@
 func TestUnlistedLivesAreForgotten(t *testing.T) {
 	pool := New("a")
 	pool.Update(engines(1))
-	pool.Note(start, "engine-0", Notice{Draining: true})
+	pool.RecordNotice(start, "engine-0", Notice{Draining: true})
 	for number := range maximumUnlistedSaid + 10 {
-		pool.Note(start.Add(time.Duration(number+1)*time.Second), identity.BackendID(fmt.Sprint("gone-", number)), Notice{Draining: true})
+		pool.RecordNotice(start.Add(time.Duration(number+1)*time.Second), identity.BackendID(fmt.Sprint("gone-", number)), Notice{Draining: true})
 	}
 	assert.Equal(t, len(pool.said), 1+maximumUnlistedSaid)
 	assert.Assert(t, pool.Pick(start, Query{Service: "llm"}) == nil)
@@ -230,7 +230,7 @@
 	}
 	pool := New("a")
 	pool.Update(list(0))
-	pool.Note(start, "b", Notice{Draining: true, RetryAfter: time.Second})
+	pool.RecordNotice(start, "b", Notice{Draining: true, RetryAfter: time.Second})
 	for _, incarnation := range []identity.Incarnation{started, 0, started} {
 		pool.Update(list(incarnation))
 		assert.Assert(t, pool.Pick(start.Add(2*time.Second), Query{Service: "s"}) == nil, "incarnation %d", incarnation)
@@ -242,7 +242,7 @@
 
 	pool = New("a")
 	pool.Update(list(started))
-	pool.Note(start, identity.NewBackendID("b", started), Notice{Draining: true})
+	pool.RecordNotice(start, identity.NewBackendID("b", started), Notice{Draining: true})
 	pool.Update(list(0))
 	assert.Assert(t, pool.Pick(start.Add(time.Second), Query{Service: "s"}) == nil)
 	pool.Update(nil)
@@ -275,7 +275,7 @@
 		t.Run(example.name, func(t *testing.T) {
 			pool := New("a")
 			pool.Update([]Backend{first})
-			pool.Note(example.saidAt, first.ID, example.notice)
+			pool.RecordNotice(example.saidAt, first.ID, example.notice)
 			pool.Update([]Backend{next})
 			picked := pool.Pick(start.Add(2*time.Second), Query{Service: "s"}) != nil
 			assert.Equal(t, picked, !example.holds)
--- a/internal/core/backendpool/pool.go
+++ b/internal/core/backendpool/pool.go
@@ -34,15 +34,15 @@
 	Cached func(version uint64) Cached
 	// Limits bound what a back end may have under way to take the request.
 	Limits Limits
-	// Among are the hashes of the IDs of the back ends to choose from; nil is all.
-	Among []uint64
+	// CandidateKeys are the hashes of the IDs of the back ends to choose from; nil is all.
+	CandidateKeys []uint64
 	// Software is the version of the service's software that a back end must run; empty is
 	// any.
 	Software identity.SoftwareVersion
-	// Only are the hashes of the IDs of the back ends that the request may go to; nil is all.
-	Only []uint64
-	// Unlimited leaves out the back ends that have named a limit of requests.
-	Unlimited bool
+	// AllowedKeys are the hashes of the IDs of the back ends that the request may go to; nil is all.
+	AllowedKeys []uint64
+	// ExcludeLimited leaves out the back ends that have named a limit of requests.
+	ExcludeLimited bool
 	// Trial is set for requests that try a version: they are spread evenly, see chooseForTrial.
 	// Back ends that can't be reached or are leaving are left out even while no other will do;
 	// those that are doubted since they failed requests are taken then, as the evidence against a
@@ -50,8 +50,8 @@
 	Trial bool
 	// Region is where the back end must be; empty is anywhere.
 	Region identity.Region
-	// FarMoves is set where taking a token's cache from another region is quicker than reading.
-	FarMoves bool
+	// FastCrossRegionMoves is set where taking a token's cache from another region is quicker than reading.
+	FastCrossRegionMoves bool
 	// farCached says where the parts are in all regions.
 	farCached func(version uint64) Cached
 	// newest is the newest version that any back end which would do holds.
@@ -104,7 +104,7 @@
 	// limitsToTell are the back ends whose limits of requests wait to be told, by the hashes of their IDs.
 	limitsToTell map[uint64]bool
 	// doubts wait to be told to other daemons.
-	doubts []Doubt
+	doubts []FailureReport
 	// updates counts the updates of the list.
 	updates   uint64
 	placement Placement
@@ -162,9 +162,9 @@
 	}
 }
 
-// OnFreed sets what is called when a request that found all back ends busy may find
+// OnCapacityFreed sets what is called when a request that found all back ends busy may find
 // one free. It must be set before the pool is used, and must not block.
-func (p *Pool) OnFreed(freed func()) { p.freed = freed }
+func (p *Pool) OnCapacityFreed(freed func()) { p.freed = freed }
 
 // SetDaemons changes how many daemons choose among the same back ends.
 func (p *Pool) SetDaemons(count int) {
--- a/internal/core/backendpool/pool_test.go
+++ b/internal/core/backendpool/pool_test.go
@@ -169,7 +169,7 @@
 	pool.Update(engines(1))
 	ticket := pool.Pick(start, Query{Service: "llm", Model: "m", Home: 5, OwnTokens: 500})
 	assert.Equal(t, pool.Loads(9)[0].Reading, 500.0)
-	ticket.Begun()
+	ticket.RecordFirstByte()
 	assert.Equal(t, pool.Loads(9)[0].Reading, 0.0)
 	assert.Equal(t, pool.Loads(9)[0].InFlight, 1.0)
 	ticket.Release(start, ResultServed)
@@ -366,7 +366,7 @@
 			left += max(backend.Slots-others, 0)
 		}
 		pool.SetOthersLoad(loads, rapid.Bool().Draw(t, "whole"))
-		query := Query{Service: "llm", Model: "m", Home: 7, Limits: Limits{Places: true}}
+		query := Query{Service: "llm", Model: "m", Home: 7, Limits: Limits{EnforceSlots: true}}
 		for number := range left {
 			ticket, _ := pool.PickOrExplain(start, query)
 			assert.Assert(t, ticket != nil, "%d of %d places were found", number, left)
--- a/internal/core/backendpool/refusal_test.go
+++ b/internal/core/backendpool/refusal_test.go
@@ -100,7 +100,7 @@
 		index := slices.IndexFunc(c.backends, func(backend Backend) bool { return backend.ID == ticket.Backend.ID })
 		c.arrivals[index]++
 		if !c.refuses[index] && c.underWay[index] < c.slots {
-			ticket.Answered(now, Notice{}, ReceptionTook)
+			ticket.RecordResponseHeader(now, Notice{}, AdmissionAccepted)
 			c.served++
 			c.underWay[index]++
 			end := step + int(c.takes/time.Millisecond)
@@ -108,7 +108,7 @@
 			return
 		}
 		c.refusals++
-		ticket.Answered(now, Notice{}, ReceptionRefused)
+		ticket.RecordResponseHeader(now, Notice{}, AdmissionRefused)
 		ticket.Release(now, ResultRejected)
 		query.Exclude = append(query.Exclude, ticket.Backend.ID)
 		if c.budgets[daemon] < 1 {
--- a/internal/core/backendpool/region.go
+++ b/internal/core/backendpool/region.go
@@ -11,9 +11,9 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// Room sums up what is under way at the back ends of a service in one region that would get
+// RegionCapacity sums up what is under way at the back ends of a service in one region that would get
 // requests now, as far as this daemon knows.
-type Room struct {
+type RegionCapacity struct {
 	Region identity.Region
 	// Backends is how many there are, and Slots how many requests they take together.
 	Backends, Slots float64
@@ -26,7 +26,7 @@
 
 // Free is about how many more requests with a number of tokens the back ends take within
 // limits.
-func (r Room) Free(limits Limits, tokens int) float64 {
+func (r RegionCapacity) Free(limits Limits, tokens int) float64 {
 	free, size := r.Slots-r.InFlight, float64(max(tokens, 1))
 	if limits.Tokens > 0 {
 		free = min(free, (r.Backends*limits.Tokens-r.Tokens)/size)
@@ -71,26 +71,26 @@
 	return found.backend.Zone, true
 }
 
-// Rooms sums up the regions of a service's back ends, ordered by name.
-func (p *Pool) Rooms(now time.Time, service identity.ServiceName) []Room {
+// RegionCapacities sums up the regions of a service's back ends, ordered by name.
+func (p *Pool) RegionCapacities(now time.Time, service identity.ServiceName) []RegionCapacity {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	var rooms []Room
+	var rooms []RegionCapacity
 	for _, found := range p.entriesOf(service) {
 		if !found.listed() || found.backsOff(now) || found.isLimited() || p.refuses(now, found, false) || found.ejected(now) || found.leaving == leavesNow {
 			continue
 		}
 		region := p.RegionOf(found.backend.Zone)
-		at := slices.IndexFunc(rooms, func(room Room) bool { return room.Region == region })
+		at := slices.IndexFunc(rooms, func(room RegionCapacity) bool { return room.Region == region })
 		if at < 0 {
-			at, rooms = len(rooms), append(rooms, Room{Region: region})
+			at, rooms = len(rooms), append(rooms, RegionCapacity{Region: region})
 		}
 		rooms[at].add(found)
 	}
 	return rooms
 }
 
-func (r *Room) add(found *entry) {
+func (r *RegionCapacity) add(found *entry) {
 	r.Backends++
 	if found.backend.Slots == 0 {
 		r.Slots += unboundedSlots
@@ -128,7 +128,7 @@
 // it names one and moves between regions take longer than reading.
 func (p *Pool) near(query Query) Query {
 	ask := query.Cached
-	if ask == nil || query.Region == "" || query.FarMoves {
+	if ask == nil || query.Region == "" || query.FastCrossRegionMoves {
 		return query
 	}
 	query.farCached = ask
@@ -151,24 +151,24 @@
 	return found
 }
 
-// Lacking is how many of a query's shared tokens no back end of a region holds or is about to.
-type Lacking struct {
+// RegionUncached is how many of a query's shared tokens no back end of a region holds or is about to.
+type RegionUncached struct {
 	Region identity.Region
 	Tokens int
 }
 
-// Lacking returns what the regions lack whose back ends may get a query's request, in no order.
-func (p *Pool) Lacking(now time.Time, query Query) []Lacking {
+// UncachedByRegion returns what the regions lack whose back ends may get a query's request, in no order.
+func (p *Pool) UncachedByRegion(now time.Time, query Query) []RegionUncached {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	query = query.remembered()
-	var found []Lacking
+	var found []RegionUncached
 	for place, of := range p.byRegion {
 		if place.service != query.Service {
 			continue
 		}
 		if lacking, some := p.lacking(now, query, of.entries); some {
-			found = append(found, Lacking{Region: place.region, Tokens: lacking})
+			found = append(found, RegionUncached{Region: place.region, Tokens: lacking})
 		}
 	}
 	return found
--- a/internal/core/backendpool/region_test.go
+++ b/internal/core/backendpool/region_test.go
@@ -55,7 +55,7 @@
 			region := identity.Region(fmt.Sprint("region-", rapid.IntRange(0, regions-1).Draw(t, "region")))
 			query := Query{Service: "llm", Model: "m", Home: 7, SharedTokens: 100, Region: region}
 			if rapid.Bool().Draw(t, "limits") {
-				query.Limits = Limits{Places: true}
+				query.Limits = Limits{EnforceSlots: true}
 			}
 			ticket, shortage := pool.PickOrExplain(start, query)
 			listed := 0
@@ -85,11 +85,11 @@
 		pool, list := spreadPool(rapid.IntRange(1, 14).Draw(t, "back ends"), regions)
 		distances := regionMap(regions)
 		others := map[uint64]Load{}
-		expected := map[identity.Region]Room{}
-		sum := func(backend Backend, add Room) {
+		expected := map[identity.Region]RegionCapacity{}
+		sum := func(backend Backend, add RegionCapacity) {
 			region := distances.Region(backend.Zone)
 			room := expected[region]
-			expected[region] = Room{
+			expected[region] = RegionCapacity{
 				Region: region, Backends: room.Backends + add.Backends, Slots: room.Slots + add.Slots, InFlight: room.InFlight + add.InFlight,
 				Reading: room.Reading + add.Reading, Tokens: room.Tokens + add.Tokens,
 			}
@@ -97,14 +97,14 @@
 		for _, backend := range list {
 			load := Load{Key: rendezvous.Key(string(backend.ID)), InFlight: float64(rapid.IntRange(0, 3).Draw(t, "others")), Reading: 50}
 			others[load.Key] = load
-			sum(backend, Room{Backends: 1, Slots: 4, InFlight: load.InFlight, Reading: 50})
+			sum(backend, RegionCapacity{Backends: 1, Slots: 4, InFlight: load.InFlight, Reading: 50})
 		}
 		pool.SetOthersLoad(others, true)
 		for range rapid.IntRange(0, 20).Draw(t, "requests") {
 			ticket := pool.Pick(start, Query{Service: "llm", Model: "m", OwnTokens: 10})
-			sum(ticket.Backend, Room{InFlight: 1, Reading: 10, Tokens: 10})
+			sum(ticket.Backend, RegionCapacity{InFlight: 1, Reading: 10, Tokens: 10})
 		}
-		rooms := pool.Rooms(start, "llm")
+		rooms := pool.RegionCapacities(start, "llm")
 		assert.Equal(t, len(rooms), len(expected))
 		for _, room := range rooms {
 			assert.DeepEqual(t, room, expected[room.Region])
@@ -132,7 +132,7 @@
 				least[region] = lacks
 			}
 		}
-		found := pool.Lacking(start, Query{Service: "llm", Model: "m", SharedTokens: 1000, Cached: func(uint64) Cached { return cached }})
+		found := pool.UncachedByRegion(start, Query{Service: "llm", Model: "m", SharedTokens: 1000, Cached: func(uint64) Cached { return cached }})
 		assert.Equal(t, len(found), len(least))
 		for _, lacking := range found {
 			assert.Equal(t, lacking.Tokens, least[lacking.Region])
@@ -146,9 +146,9 @@
 	pool.SetLeaving(Leaving{Now: []uint64{rendezvous.Key(string(list[0].ID))}})
 	list[2].Draining = true
 	pool.Update(list)
-	assert.Equal(t, len(pool.Rooms(start, "llm")), 1)
-	lacking := pool.Lacking(start, Query{Service: "llm", Model: "m"})
-	assert.DeepEqual(t, lacking, []Lacking{{Region: "region-1"}})
+	assert.Equal(t, len(pool.RegionCapacities(start, "llm")), 1)
+	lacking := pool.UncachedByRegion(start, Query{Service: "llm", Model: "m"})
+	assert.DeepEqual(t, lacking, []RegionUncached{{Region: "region-1"}})
 }
 
 // TestSourceIsNear takes a cache from the same zone first, then from the region, and from
@@ -170,7 +170,7 @@
 			cached[0].Read = append(cached[0].Read, key(holder))
 		}
 		ticket := pool.Pick(start, Query{
-			Service: "llm", Model: "m", SharedTokens: 900, Region: "region-0", Among: []uint64{key(0)},
+			Service: "llm", Model: "m", SharedTokens: 900, Region: "region-0", CandidateKeys: []uint64{key(0)},
 			Cached: func(uint64) Cached { return cached },
 		})
 		holder := ticket.Source.Holder
@@ -196,7 +196,7 @@
 			cached[1].Read = append(cached[1].Read, key(0))
 		}
 		ticket := pool.Pick(start, Query{
-			Service: "llm", Model: "m", SharedTokens: 900, Region: "region-0", Among: []uint64{key(0)},
+			Service: "llm", Model: "m", SharedTokens: 900, Region: "region-0", CandidateKeys: []uint64{key(0)},
 			Cached: func(uint64) Cached { return cached },
 		})
 		assert.Assert(t, ticket.Source.Holder != nil)
@@ -210,7 +210,7 @@
 	for _, far := range []bool{false, true} {
 		pool, list := spreadPool(2, 2)
 		cached := Cached{{Tokens: 900, Read: []uint64{rendezvous.Key(string(list[1].ID))}}}
-		query := Query{Service: "llm", Model: "m", SharedTokens: 900, Region: "region-0", FarMoves: far, Cached: func(uint64) Cached { return cached }}
+		query := Query{Service: "llm", Model: "m", SharedTokens: 900, Region: "region-0", FastCrossRegionMoves: far, Cached: func(uint64) Cached { return cached }}
 		ticket := pool.Pick(start, query)
 		expected := unknownElsewhereCost * 900.0
 		if far {
@@ -223,12 +223,12 @@
 
 // TestFreeIsOfTheScarcest limits by places, memory and reading.
 func TestFreeIsOfTheScarcest(t *testing.T) {
-	room := Room{Backends: 2, Slots: 8, InFlight: 3, Reading: 1000, Tokens: 2000}
-	assert.Equal(t, room.Free(Limits{Places: true}, 500), 5.0)
-	assert.Equal(t, room.Free(Limits{Places: true, Tokens: 2000}, 500), 4.0)
-	assert.Equal(t, room.Free(Limits{Places: true, Reading: 1000}, 500), 2.0)
-	assert.Equal(t, room.Free(Limits{Places: true, Reading: 501}, 500), 2.0, "each takes one more")
-	assert.Equal(t, room.Free(Limits{Places: true, Reading: 500}, 500), 0.0)
+	room := RegionCapacity{Backends: 2, Slots: 8, InFlight: 3, Reading: 1000, Tokens: 2000}
+	assert.Equal(t, room.Free(Limits{EnforceSlots: true}, 500), 5.0)
+	assert.Equal(t, room.Free(Limits{EnforceSlots: true, Tokens: 2000}, 500), 4.0)
+	assert.Equal(t, room.Free(Limits{EnforceSlots: true, Reading: 1000}, 500), 2.0)
+	assert.Equal(t, room.Free(Limits{EnforceSlots: true, Reading: 501}, 500), 2.0, "each takes one more")
+	assert.Equal(t, room.Free(Limits{EnforceSlots: true, Reading: 500}, 500), 0.0)
 	assert.Equal(t, room.Free(Limits{Reading: 400}, 500), 0.0)
 	assert.Equal(t, room.Free(Limits{}, 0), 5.0)
 }
@@ -255,8 +255,8 @@
 	}
 	query := Query{Service: "llm", Model: "m", SharedTokens: 3780, Cached: func(uint64) Cached { return Cached{level} }}
 	for b.Loop() {
-		pool.Lacking(start, query)
-		pool.Rooms(start, "llm")
+		pool.UncachedByRegion(start, query)
+		pool.RegionCapacities(start, "llm")
 	}
 }
 
@@ -270,9 +270,9 @@
 		{ID: "new", Service: "s", Zone: "c", Address: "3", Slots: 1},
 	})
 	now := time.Now()
-	assert.Equal(t, len(pool.Lacking(now, Query{Service: "s"})), 2)
+	assert.Equal(t, len(pool.UncachedByRegion(now, Query{Service: "s"})), 2)
 	assert.Equal(t, len(pool.SampleRegion("r1", 10)), 2)
-	for _, room := range pool.Rooms(now, "s") {
+	for _, room := range pool.RegionCapacities(now, "s") {
 		assert.Equal(t, room.Slots, map[identity.Region]float64{"r1": 2, "r2": 1}[room.Region])
 	}
 	assert.Equal(t, pool.RegionOf("c"), identity.Region("r1"))
--- a/internal/core/backendpool/requestlimit.go
+++ b/internal/core/backendpool/requestlimit.go
@@ -6,13 +6,13 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// LimitWord is what an answer says of how many requests its back end takes.
-type LimitWord uint8
+// LimitKind is what an answer says of how many requests its back end takes.
+type LimitKind uint8
 
 // The words.
 const (
-	// LimitUnsaid: the answer tells nothing of it, or nothing that can be read.
-	LimitUnsaid LimitWord = iota
+	// LimitUnspecified: the answer tells nothing of it, or nothing that can be read.
+	LimitUnspecified LimitKind = iota
 	// LimitNamed: the back end takes so many from all daemons together.
 	LimitNamed
 	// LimitNone: the back end names no limit, or no longer.
@@ -21,7 +21,7 @@
 
 // LimitNotice is what an answer says of how many requests its back end takes from all daemons together.
 type LimitNotice struct {
-	Word LimitWord
+	Kind LimitKind
 	// PerSecond is the limit where one is named, zero or more.
 	PerSecond float64
 }
@@ -80,9 +80,9 @@
 // answer that names none ends no limit that came into force after the request was sent: it may have been under way.
 func (k *knownLimit) answered(now time.Time, notice LimitNotice, sentAt time.Time) bool {
 	switch {
-	case notice.Word == LimitNamed && (!k.InForce || k.PerSecond != notice.PerSecond):
+	case notice.Kind == LimitNamed && (!k.InForce || k.PerSecond != notice.PerSecond):
 		return k.replace(now, RequestLimit{Version: k.Version + 1, InForce: true, PerSecond: notice.PerSecond})
-	case notice.Word == LimitNone && k.InForce && sentAt.After(k.since):
+	case notice.Kind == LimitNone && k.InForce && sentAt.After(k.since):
 		return k.replace(now, RequestLimit{Version: k.Version + 1})
 	default:
 		return false
@@ -102,7 +102,7 @@
 // endsLimit tells whether a notice may end a limit that is in force. The caller holds the mutex.
 func (p *Pool) endsLimit(id identity.BackendID, notice Notice) bool {
 	said := p.said[id]
-	return notice.Limit.Word == LimitNone && said != nil && said.limit.InForce
+	return notice.Limit.Kind == LimitNone && said != nil && said.limit.InForce
 }
 
 // requestLimit is what is known of the back end's limit.
@@ -134,9 +134,9 @@
 	return at
 }
 
-// NoRoom notes that a part of a ticket's back end's limit was refused. It gets no requests until a part is to be asked for
+// RecordGrantRefused notes that a part of a ticket's back end's limit was refused. It gets no requests until a part is to be asked for
 // again.
-func (t *Ticket) NoRoom(askAt, roomAt time.Time) {
+func (t *Ticket) RecordGrantRefused(askAt, roomAt time.Time) {
 	t.pool.mutex.Lock()
 	defer t.pool.mutex.Unlock()
 	if said := t.entry.said; said != nil && said.limit.InForce {
@@ -144,8 +144,8 @@
 	}
 }
 
-// Granted notes that the ticket has a part of its back end's limit.
-func (t *Ticket) Granted(now time.Time) {
+// RecordGrant notes that the ticket has a part of its back end's limit.
+func (t *Ticket) RecordGrant(now time.Time) {
 	t.pool.mutex.Lock()
 	defer t.pool.mutex.Unlock()
 	t.grantedAt = now
--- a/internal/core/backendpool/requestlimit_test.go
+++ b/internal/core/backendpool/requestlimit_test.go
@@ -33,27 +33,27 @@
 // was named, to calls, refusals, and texts that can't be read end none.
 func TestLimitsHoldUntilAnAnswerNamesNone(t *testing.T) {
 	pool, now := limitedPool(), start
-	none := Notice{Limit: LimitNotice{Word: LimitNone}}
+	none := Notice{Limit: LimitNotice{Kind: LimitNone}}
 	underWay := only(pool, now, "a")
 	now = now.Add(time.Second)
-	assert.Assert(t, only(pool, now, "a").Answered(now, named(1.1), ReceptionTook).Noticed)
+	assert.Assert(t, only(pool, now, "a").RecordResponseHeader(now, named(1.1), AdmissionAccepted).NoticeIsNew)
 	assert.Equal(t, pool.RequestLimit("a"), RequestLimit{Version: 1, InForce: true, PerSecond: 1.1})
 	assert.Equal(t, pool.RequestLimit("b"), RequestLimit{})
 
 	now = now.Add(time.Second)
-	assert.Assert(t, !underWay.Answered(now, none, ReceptionTook).Noticed)
+	assert.Assert(t, !underWay.RecordResponseHeader(now, none, AdmissionAccepted).NoticeIsNew)
 	later := only(pool, now, "a")
 	assert.Equal(t, later.Limit.PerSecond, 1.1)
-	assert.Assert(t, !later.Answered(now, Notice{}, ReceptionRefused).Noticed)
-	assert.Assert(t, !pool.Note(now, "a", Notice{}))
+	assert.Assert(t, !later.RecordResponseHeader(now, Notice{}, AdmissionRefused).NoticeIsNew)
+	assert.Assert(t, !pool.RecordNotice(now, "a", Notice{}))
 	assert.Assert(t, pool.RequestLimit("a").InForce)
-	assert.Assert(t, !pool.Note(now, "a", named(1.1)))
-	assert.Assert(t, pool.Note(now, "a", named(3)))
+	assert.Assert(t, !pool.RecordNotice(now, "a", named(1.1)))
+	assert.Assert(t, pool.RecordNotice(now, "a", named(3)))
 	assert.Equal(t, pool.RequestLimit("a"), RequestLimit{Version: 2, InForce: true, PerSecond: 3})
 
-	assert.Assert(t, later.Answered(now, none, ReceptionTook).Noticed)
+	assert.Assert(t, later.RecordResponseHeader(now, none, AdmissionAccepted).NoticeIsNew)
 	assert.Equal(t, pool.RequestLimit("a"), RequestLimit{Version: 3})
-	assert.Assert(t, !later.Answered(now, none, ReceptionTook).Noticed)
+	assert.Assert(t, !later.RecordResponseHeader(now, none, AdmissionAccepted).NoticeIsNew)
 }
 
 // TestLimitsAreOfALife lets a back end start again: what its earlier life named is of that one alone, and what the new one
@@ -68,7 +68,7 @@
 		pool := New("a")
 		life := Backend{ID: identity.NewBackendID("a", identity.Incarnation(start.UnixMilli())), Service: "pages", Address: "a:80", Zone: "a", Slots: 4}
 		pool.Update([]Backend{life})
-		assert.Assert(t, pool.Note(example.namedAt, life.ID, named(2)))
+		assert.Assert(t, pool.RecordNotice(example.namedAt, life.ID, named(2)))
 		life.ID = next
 		pool.Update([]Backend{life})
 		assert.Equal(t, pool.RequestLimit(next).InForce, example.holds)
--- a/internal/core/backendpool/sample.go
+++ b/internal/core/backendpool/sample.go
@@ -26,7 +26,7 @@
 func (p *Pool) Sample(now time.Time, query Query, before []uint64) []uint64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	query.Limits, query.Among = Limits{}, nil
+	query.Limits, query.CandidateKeys = Limits{}, nil
 	query = query.remembered()
 	scope := p.scope(now, query)
 	candidates, _ := p.candidates(now, query, scope)
--- a/internal/core/backendpool/scope.go
+++ b/internal/core/backendpool/scope.go
@@ -38,7 +38,7 @@
 		home = of.home(query.Home, func(found *entry) bool { return p.isSound(now, found, query) })
 	}
 	switch {
-	case query.Among != nil:
+	case query.CandidateKeys != nil:
 		return scope{entries: p.among(query), home: home}
 	case !large:
 		return scope{entries: of.entries}
@@ -51,14 +51,14 @@
 // The caller holds the mutex.
 func (p *Pool) isSound(now time.Time, found *entry, query Query) bool {
 	p.visits++
-	query.Among = nil
+	query.CandidateKeys = nil
 	return allowed(now, found, query) && !found.onTrial(now) && !found.ejected(now) && found.leaving == stays && !p.refuses(now, found, false)
 }
 
 // among are the back ends that a query names, ordered by ID.
 func (p *Pool) among(query Query) []*entry {
-	named := make([]*entry, 0, len(query.Among))
-	for _, key := range query.Among {
+	named := make([]*entry, 0, len(query.CandidateKeys))
+	for _, key := range query.CandidateKeys {
 		if found := p.asked(key, query); found != nil {
 			named = append(named, found)
 		}
--- a/internal/core/backendpool/shortage.go
+++ b/internal/core/backendpool/shortage.go
@@ -17,8 +17,8 @@
 	Listed, Draining, BackingOff, Limited, Failed, OtherVersion, OldWeights, Busy int
 }
 
-// Plus adds up what was found in two regions.
-func (s Shortage) Plus(other Shortage) Shortage {
+// Add adds up what was found in two regions.
+func (s Shortage) Add(other Shortage) Shortage {
 	return Shortage{
 		Listed: s.Listed + other.Listed, Draining: s.Draining + other.Draining, BackingOff: s.BackingOff + other.BackingOff, Limited: s.Limited + other.Limited, Failed: s.Failed + other.Failed,
 		OtherVersion: s.OtherVersion + other.OtherVersion, OldWeights: s.OldWeights + other.OldWeights, Busy: s.Busy + other.Busy,
@@ -36,7 +36,7 @@
 			shortage.Draining++
 		case found.backsOff(now):
 			shortage.BackingOff++
-		case found.outOfRoom(now), query.Unlimited && found.isLimited():
+		case found.outOfRoom(now), query.ExcludeLimited && found.isLimited():
 			shortage.Limited++
 		case slices.Contains(query.Exclude, found.backend.ID):
 			shortage.Failed++
--- a/internal/core/backendpool/software.go
+++ b/internal/core/backendpool/software.go
@@ -12,7 +12,7 @@
 	if q.Software != "" && found.backend.Software != q.Software {
 		return false
 	}
-	return q.Only == nil || slices.Contains(q.Only, found.key)
+	return q.AllowedKeys == nil || slices.Contains(q.AllowedKeys, found.key)
 }
 
 // SoftwareVersions counts the back ends of a service by the version of its software, without
@@ -47,9 +47,9 @@
 // listed tells whether the back end is there to serve new requests.
 func (e *entry) listed() bool { return !e.isDraining() && !e.isOver() }
 
-// InFlightAtOthers is how many requests of this daemon are under way at back ends of a service that run
+// InFlightOnOtherVersions is how many requests of this daemon are under way at back ends of a service that run
 // another version of its software than the given one. Those that are no longer listed count.
-func (p *Pool) InFlightAtOthers(service identity.ServiceName, except identity.SoftwareVersion) int {
+func (p *Pool) InFlightOnOtherVersions(service identity.ServiceName, except identity.SoftwareVersion) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	count := 0
--- a/internal/core/backendpool/software_test.go
+++ b/internal/core/backendpool/software_test.go
@@ -54,11 +54,11 @@
 			case 1, 2:
 				query := Query{Service: "llm", Software: versions.Draw(t, "asked for")}
 				if rapid.Bool().Draw(t, "only") {
-					query.Only = []uint64{keyOf("engine-0"), keyOf("engine-3")}
+					query.AllowedKeys = []uint64{keyOf("engine-0"), keyOf("engine-3")}
 				}
 				if ticket := pool.Pick(start, query); ticket != nil {
 					assert.Assert(t, query.Software == "" || ticket.Backend.Software == query.Software)
-					assert.Assert(t, query.Only == nil || slices.Contains(query.Only, ticket.Key))
+					assert.Assert(t, query.AllowedKeys == nil || slices.Contains(query.AllowedKeys, ticket.Key))
 					oracle.underWay = append(oracle.underWay, ticket)
 				} else {
 					assert.Equal(t, oracle.possible(query), 0)
@@ -72,8 +72,8 @@
 			}
 			assert.DeepEqual(t, pool.SoftwareVersions("llm"), oracle.counts())
 			for _, version := range []identity.SoftwareVersion{"", "v1", "v2"} {
-				assert.Equal(t, pool.InFlightAtOthers("llm", version), oracle.own(version))
-				assert.Equal(t, pool.InFlightAtOthers("other", version), 0)
+				assert.Equal(t, pool.InFlightOnOtherVersions("llm", version), oracle.own(version))
+				assert.Equal(t, pool.InFlightOnOtherVersions("other", version), 0)
 				assert.Equal(t, len(pool.KeysOf("llm", version)), oracle.counts()[version])
 			}
 		}
@@ -89,7 +89,7 @@
 	count := 0
 	for _, backend := range o.listed {
 		runs := query.Software == "" || backend.Software == query.Software
-		named := query.Only == nil || slices.Contains(query.Only, keyOf(backend.ID))
+		named := query.AllowedKeys == nil || slices.Contains(query.AllowedKeys, keyOf(backend.ID))
 		if !backend.Draining && runs && named {
 			count++
 		}
@@ -147,7 +147,7 @@
 	query := Query{Service: "llm", Software: "v2", Exclude: []identity.BackendID{"engine-3", "engine-4"}}
 	_, shortage := pool.PickOrExplain(start, query)
 	assert.Equal(t, shortage, Shortage{Listed: 5, Draining: 1, Failed: 2, OtherVersion: 2})
-	query.Exclude, query.Only = nil, []uint64{}
+	query.Exclude, query.AllowedKeys = nil, []uint64{}
 	_, shortage = pool.PickOrExplain(start, query)
 	assert.Equal(t, shortage, Shortage{Listed: 5, Draining: 1, OtherVersion: 4})
 }
@@ -158,19 +158,19 @@
 	pool := New("a")
 	pool.SetDaemons(100)
 	pool.Update(versioned(12, 6))
-	query := Query{Service: "llm", Model: "m", Home: 7, SharedTokens: 1000, Software: "v2", Only: []uint64{keyOf("engine-8"), keyOf("engine-9"), keyOf("engine-1")}}
+	query := Query{Service: "llm", Model: "m", Home: 7, SharedTokens: 1000, Software: "v2", AllowedKeys: []uint64{keyOf("engine-8"), keyOf("engine-9"), keyOf("engine-1")}}
 	query.Cached = func(uint64) Cached { return Cached{{Tokens: 1000, Read: []uint64{keyOf("engine-0")}}} }
 	for range 50 {
 		sampled := pool.Sample(start, query, nil)
 		assert.Equal(t, len(sampled), 2)
 		assert.Assert(t, !slices.Contains(sampled, keyOf("engine-0")) && !slices.Contains(sampled, keyOf("engine-1")))
-		query.Among = sampled
+		query.CandidateKeys = sampled
 		ticket := pool.Pick(start, query)
 		assert.Equal(t, ticket.Backend.Software, identity.SoftwareVersion("v2"))
 		// Where the prompt is taken from may run any version: the weights are the same.
 		assert.Equal(t, ticket.Source.Holder.ID, identity.BackendID("engine-0"))
 		ticket.Release(start, ResultServed)
-		query.Among = nil
+		query.CandidateKeys = nil
 	}
 }
 
@@ -183,7 +183,7 @@
 	pool.Update(list)
 	assert.Equal(t, pool.newestVersion(start, Query{Service: "llm", Model: "m"}), uint64(2))
 	assert.Equal(t, pool.newestVersion(start, Query{Service: "llm", Model: "m", Software: "v1"}), uint64(1))
-	assert.Equal(t, pool.newestVersion(start, Query{Service: "llm", Model: "m", Only: []uint64{keyOf("engine-3")}}), uint64(1))
+	assert.Equal(t, pool.newestVersion(start, Query{Service: "llm", Model: "m", AllowedKeys: []uint64{keyOf("engine-3")}}), uint64(1))
 }
 
 // TestTrialsTakeReachableBackEnds asks for a back end for a trial while the only one can't be
@@ -195,7 +195,7 @@
 	query := Query{Service: "llm"}
 	trial := query
 	trial.Trial = true
-	pool.Pick(start, query).Release(start, ResultUnreached)
+	pool.Pick(start, query).Release(start, ResultUnreachable)
 	now := start.Add(100 * time.Millisecond)
 	assert.Assert(t, pool.Pick(now, trial) == nil)
 	assert.Assert(t, pool.Pick(now, query) != nil)
@@ -210,7 +210,7 @@
 	for range 2 {
 		pool.Pick(start, query).Release(start, ResultFailed)
 	}
-	assert.Assert(t, pool.States(start)[0].Doubted)
+	assert.Assert(t, pool.States(start)[0].Ejected)
 	assert.Assert(t, pool.Pick(start, trial) != nil)
 }
 
@@ -223,9 +223,9 @@
 		list := versioned(5, 1)
 		list[4].Slots = 1
 		pool.Update(list)
-		query := Query{Service: "llm", Software: "v2", Trial: true, Model: model, Home: 7, SharedTokens: 4000, OwnTokens: 100, Limits: Limits{Places: true}}
+		query := Query{Service: "llm", Software: "v2", Trial: true, Model: model, Home: 7, SharedTokens: 4000, OwnTokens: 100, Limits: Limits{EnforceSlots: true}}
 		query.Cached = func(uint64) Cached { return Cached{{Tokens: 4000, Read: []uint64{keyOf("engine-1")}}} }
-		full := pool.Pick(start, Query{Service: "llm", Only: []uint64{keyOf("engine-4")}})
+		full := pool.Pick(start, Query{Service: "llm", AllowedKeys: []uint64{keyOf("engine-4")}})
 		assert.Equal(t, full.Backend.ID, identity.BackendID("engine-4"))
 		counts := map[identity.BackendID]int{}
 		for range 600 {
--- a/internal/core/backendpool/states.go
+++ b/internal/core/backendpool/states.go
@@ -19,13 +19,13 @@
 	Backoff time.Duration
 	// Refusing is set while it gets requests only where no other will do, since it refuses them.
 	Refusing bool
-	// Doubted is set while it gets no requests because of failed ones.
-	Doubted bool
-	// Own is how many requests of this daemon are under way there, InFlight of all
+	// Ejected is set while it gets no requests because of failed ones.
+	Ejected bool
+	// OwnInFlight is how many requests of this daemon are under way there, InFlight of all
 	// daemons, and Reading how much of their prompts waits to be read, in tokens.
-	Own      int
-	InFlight float64
-	Reading  float64
+	OwnInFlight int
+	InFlight    float64
+	Reading     float64
 }
 
 // States returns what is believed of all back ends, ordered by ID.
@@ -37,8 +37,8 @@
 		found := p.byID[id]
 		state := State{
 			Refusing: found.refusals.refusing(), Backend: found.described(), Versions: map[identity.ModelName]uint64{},
-			Leaving: found.isDraining() || found.leaving == leavesNow, Doubted: found.ejected(now),
-			Own: found.inFlight, InFlight: float64(found.inFlight) + found.others.InFlight,
+			Leaving: found.isDraining() || found.leaving == leavesNow, Ejected: found.ejected(now),
+			OwnInFlight: found.inFlight, InFlight: float64(found.inFlight) + found.others.InFlight,
 			Reading: found.reading + found.others.Reading,
 		}
 		if found.backsOff(now) {
--- a/internal/core/backendpool/suspicion.go
+++ b/internal/core/backendpool/suspicion.go
@@ -61,17 +61,17 @@
 	probingFrom, probedAt time.Time
 }
 
-// Suspect is a back end that is to be probed.
-type Suspect struct {
+// ProbeTarget is a back end that is to be probed.
+type ProbeTarget struct {
 	ID      identity.BackendID
 	Address string
 }
 
-// Suspects returns the back ends to be probed now: those that were not reached before
+// TakeDueProbes returns the back ends to be probed now: those that were not reached before
 // they are tried again, those that another daemon did not reach, and within a rate those
 // that have been silent for longest though requests are under way. Probed must follow for
 // each.
-func (p *Pool) Suspects(now time.Time) []Suspect {
+func (p *Pool) TakeDueProbes(now time.Time) []ProbeTarget {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var found, silent []*entry
@@ -102,10 +102,10 @@
 		}
 		found = append(found, candidate)
 	}
-	var suspects []Suspect
+	var suspects []ProbeTarget
 	for _, candidate := range found {
 		candidate.beginProbe(now)
-		suspects = append(suspects, Suspect{ID: candidate.backend.ID, Address: candidate.backend.Address})
+		suspects = append(suspects, ProbeTarget{ID: candidate.backend.ID, Address: candidate.backend.Address})
 	}
 	return suspects
 }
@@ -189,16 +189,16 @@
 
 // The outcomes of probes.
 const (
-	ProbeChangedNothing ProbeOutcome = iota
-	// ProbeTookOut: the back end is out until a probe reaches it.
-	ProbeTookOut
-	// ProbeBroughtBack: the back end was out since it could not be reached.
-	ProbeBroughtBack
+	ProbeNoChange ProbeOutcome = iota
+	// ProbeEjected: the back end is out until a probe reaches it.
+	ProbeEjected
+	// ProbeReinstated: the back end was out since it could not be reached.
+	ProbeReinstated
 )
 
-// Probed notes whether a probe reached a back end. One that was not reached is out until
+// RecordProbe notes whether a probe reached a back end. One that was not reached is out until
 // a probe reaches it, and its requests are told.
-func (p *Pool) Probed(now time.Time, id identity.BackendID, reached bool) ProbeOutcome {
+func (p *Pool) RecordProbe(now time.Time, id identity.BackendID, reached bool) ProbeOutcome {
 	defer p.checked(id, reached)
 	if reached {
 		defer p.freed()
@@ -216,16 +216,16 @@
 	defer p.mutex.Unlock()
 	found := p.byID[id]
 	if found == nil {
-		return ProbeChangedNothing
+		return ProbeNoChange
 	}
 	found.suspicion.probed(now)
 	if !found.suspicion.unreached {
-		return ProbeChangedNothing
+		return ProbeNoChange
 	}
 	found.suspicion.unreached, found.suspicion.own = false, false
 	found.ejectedUntil = now
 	found.ejection = 0
-	return ProbeBroughtBack
+	return ProbeReinstated
 }
 
 // probeFailed returns what is to be told to the requests under way.
@@ -234,7 +234,7 @@
 	defer p.mutex.Unlock()
 	found := p.byID[id]
 	if found == nil {
-		return ProbeChangedNothing, nil
+		return ProbeNoChange, nil
 	}
 	wasOut := found.ejected(now)
 	found.suspicion.probed(now)
@@ -242,10 +242,10 @@
 	p.watched[found] = true
 	found.ejectedUntil = now.Add(unreachedEjection)
 	if wasOut {
-		return ProbeChangedNothing, found.lost()
+		return ProbeNoChange, found.lost()
 	}
-	p.noteDoubt(found, ResultUnreached)
-	return ProbeTookOut, found.lost()
+	p.noteDoubt(found, ResultUnreachable)
+	return ProbeEjected, found.lost()
 }
 
 func (s *suspicion) probed(now time.Time) {
@@ -269,13 +269,13 @@
 	return tell
 }
 
-// OnChecked sets what is told whenever it shows whether a back end can be reached. It must be
+// OnReachability sets what is told whenever it shows whether a back end can be reached. It must be
 // set before the pool is used, and must not block.
-func (p *Pool) OnChecked(checked func(id identity.BackendID, reached bool)) { p.checked = checked }
+func (p *Pool) OnReachability(checked func(id identity.BackendID, reached bool)) { p.checked = checked }
 
-// OnSuspected sets what is told when a back end is to be probed at once. It must be set before
+// OnProbeRequested sets what is told when a back end is to be probed at once. It must be set before
 // the pool is used, and must not block.
-func (p *Pool) OnSuspected(suspected func()) { p.suspected = suspected }
+func (p *Pool) OnProbeRequested(suspected func()) { p.suspected = suspected }
 
 // OnLost sets what is called when the back end can no longer be reached. It must not
 // block.
--- a/internal/core/backendpool/suspicion_test.go
+++ b/internal/core/backendpool/suspicion_test.go
@@ -16,7 +16,7 @@
 
 func suspects(pool *Pool, now time.Time) []identity.BackendID {
 	var ids []identity.BackendID
-	for _, suspect := range pool.Suspects(now) {
+	for _, suspect := range pool.TakeDueProbes(now) {
 		ids = append(ids, suspect.ID)
 	}
 	return ids
@@ -31,12 +31,12 @@
 	now := start.Add(2 * time.Hour)
 	ticket := sent(pool, now)
 	assert.Equal(t, len(suspects(pool, now.Add(suspiciousSilence-time.Millisecond))), 0)
-	ticket.Heard(now.Add(suspiciousSilence / 2))
+	ticket.RecordActivity(now.Add(suspiciousSilence / 2))
 	assert.Equal(t, len(suspects(pool, now.Add(suspiciousSilence))), 0)
 	now = now.Add(2 * suspiciousSilence)
 	assert.DeepEqual(t, suspects(pool, now), []identity.BackendID{ticket.Backend.ID})
 	assert.Equal(t, len(suspects(pool, now)), 0, "one probe at a time")
-	assert.Equal(t, pool.Probed(now, ticket.Backend.ID, true), ProbeChangedNothing)
+	assert.Equal(t, pool.RecordProbe(now, ticket.Backend.ID, true), ProbeNoChange)
 	assert.Equal(t, len(suspects(pool, now.Add(probeInterval-time.Millisecond))), 0)
 	assert.Equal(t, len(suspects(pool, now.Add(probeInterval))), 1)
 	ticket.Release(now, ResultServed)
@@ -57,18 +57,18 @@
 
 	now := start.Add(suspiciousSilence)
 	assert.DeepEqual(t, suspects(pool, now), []identity.BackendID{id})
-	assert.Equal(t, pool.Probed(now, id, false), ProbeTookOut)
+	assert.Equal(t, pool.RecordProbe(now, id, false), ProbeEjected)
 	assert.Equal(t, lost, 1)
-	assert.Equal(t, len(pool.Doubts()), 1)
+	assert.Equal(t, len(pool.TakeFailureReports()), 1)
 	for range 5 {
 		assert.Assert(t, !pickedAll(pool, now)[string(id)])
 		now = now.Add(unreachedEjection - returnLead)
 		assert.DeepEqual(t, suspects(pool, now), []identity.BackendID{id})
-		assert.Equal(t, pool.Probed(now, id, false), ProbeChangedNothing, "it is out already")
+		assert.Equal(t, pool.RecordProbe(now, id, false), ProbeNoChange, "it is out already")
 	}
 	now = now.Add(unreachedEjection - returnLead)
 	assert.DeepEqual(t, suspects(pool, now), []identity.BackendID{id})
-	assert.Equal(t, pool.Probed(now, id, true), ProbeBroughtBack)
+	assert.Equal(t, pool.RecordProbe(now, id, true), ProbeReinstated)
 	assert.Assert(t, pickedAll(pool, now)[string(id)])
 }
 
@@ -79,11 +79,11 @@
 	accuser.Update(engines(3))
 	pool.Update(engines(3))
 	ticket := sent(accuser, start)
-	ticket.Release(start, ResultUnreached)
-	pool.HearDoubts(start, "one", accuser.Doubts())
+	ticket.Release(start, ResultUnreachable)
+	pool.ReceiveFailureReports(start, "one", accuser.TakeFailureReports())
 	assert.DeepEqual(t, suspects(pool, start), []identity.BackendID{ticket.Backend.ID})
 	assert.Assert(t, pickedAll(pool, start)[string(ticket.Backend.ID)])
-	pool.Probed(start, ticket.Backend.ID, true)
+	pool.RecordProbe(start, ticket.Backend.ID, true)
 	assert.Equal(t, len(suspects(pool, start.Add(time.Hour))), 0)
 }
 
@@ -110,7 +110,7 @@
 		now = now.Add(50 * time.Millisecond)
 		for _, id := range suspects(pool, now) {
 			probes++
-			pool.Probed(now, id, true)
+			pool.RecordProbe(now, id, true)
 		}
 	}
 	assert.Assert(t, probes > 0 && float64(probes) <= seconds*silenceProbeRate+1, "%d probes", probes)
@@ -122,15 +122,15 @@
 	pool := New("a")
 	pool.Update(fleet(2))
 	id := fleet(2)[0].ID
-	pool.Suspect(start, id)
-	assert.Equal(t, len(pool.Suspects(start)), 1)
-	pool.Probed(start, id, false)
+	pool.RequestProbe(start, id)
+	assert.Equal(t, len(pool.TakeDueProbes(start)), 1)
+	pool.RecordProbe(start, id, false)
 	again := start.Add(unreachedEjection - returnLead)
-	assert.Equal(t, len(pool.Suspects(again)), 1)
+	assert.Equal(t, len(pool.TakeDueProbes(again)), 1)
 	for late := range 9 {
 		now := again.Add(time.Duration(late) * 100 * time.Millisecond)
 		assert.Assert(t, pool.byID[id].ejected(now), "%v after the probe began", now.Sub(again))
 	}
-	pool.Probed(again.Add(800*time.Millisecond), id, true)
+	pool.RecordProbe(again.Add(800*time.Millisecond), id, true)
 	assert.Assert(t, !pool.byID[id].ejected(again.Add(801*time.Millisecond)))
 }
--- a/internal/core/backendpool/ticket.go
+++ b/internal/core/backendpool/ticket.go
@@ -44,16 +44,16 @@
 // read: what is taken from elsewhere counts for less.
 func (t *Ticket) WorkTokens() int { return int(t.work) }
 
-// Heard notes that something arrived from the ticket's back end.
-func (t *Ticket) Heard(now time.Time) {
+// RecordActivity notes that something arrived from the ticket's back end.
+func (t *Ticket) RecordActivity(now time.Time) {
 	t.pool.mutex.Lock()
 	defer t.pool.mutex.Unlock()
 	t.entry.heardAt = now
 	t.entry.suspicion.quietSince = now
 }
 
-// Begun notes that the answer's first byte arrived: the prompt was read.
-func (t *Ticket) Begun() {
+// RecordFirstByte notes that the answer's first byte arrived: the prompt was read.
+func (t *Ticket) RecordFirstByte() {
 	defer t.pool.freed()
 	t.pool.mutex.Lock()
 	defer t.pool.mutex.Unlock()
@@ -88,10 +88,10 @@
 // out because of the result.
 func (t *Ticket) Release(now time.Time, result Result) bool {
 	defer t.pool.freed()
-	if result == ResultUnreached || result == ResultReplaced {
+	if result == ResultUnreachable || result == ResultReplaced {
 		defer t.pool.checked(t.Backend.ID, false)
 	}
-	if result == ResultCut {
+	if result == ResultConnectionLost {
 		defer t.pool.suspected()
 	}
 	t.pool.mutex.Lock()
--- a/internal/core/backendpool/weights.go
+++ b/internal/core/backendpool/weights.go
@@ -44,13 +44,13 @@
 	InFlight float64
 	// Reading is how much waits there to be read, in tokens.
 	Reading float64
-	// Doubted is set while the back end is taken out.
-	Doubted bool
+	// Ejected is set while the back end is taken out.
+	Ejected bool
 }
 
-// AnyBehind tells whether a back end that is neither doubted nor leaving holds an older
+// AnyOutdated tells whether a back end that is neither doubted nor leaving holds an older
 // version of a model's weights than the given one.
-func (p *Pool) AnyBehind(now time.Time, model identity.ModelName, version uint64) bool {
+func (p *Pool) AnyOutdated(now time.Time, model identity.ModelName, version uint64) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, found := range p.byID {
@@ -73,7 +73,7 @@
 			holders = append(holders, Holder{
 				Backend: found.described(), Version: version,
 				InFlight: float64(found.inFlight) + found.others.InFlight,
-				Reading:  found.reading + found.others.Reading, Doubted: found.ejected(now),
+				Reading:  found.reading + found.others.Reading, Ejected: found.ejected(now),
 			})
 		}
 	}
--- a/internal/core/regionchoice/choice.go
+++ b/internal/core/regionchoice/choice.go
@@ -22,7 +22,7 @@
 
 // Region is what is known of a region.
 type Region struct {
-	backendpool.Room
+	backendpool.RegionCapacity
 	// Own is set for the daemon's own region.
 	Own bool
 	// Known is set where the region's room is known.
--- a/internal/core/regionchoice/choice_test.go
+++ b/internal/core/regionchoice/choice_test.go
@@ -24,10 +24,10 @@
 	var regions []Region
 	for number := range count {
 		region := Region{
-			Room:    backendpool.Room{Region: identity.Region(fmt.Sprint("r", number)), Backends: float64(rapid.IntRange(0, 30).Draw(t, "back ends"))},
-			Own:     own && number == 0,
-			Known:   rapid.Bool().Draw(t, "known"),
-			Lacking: rapid.IntRange(0, 8000).Draw(t, "lacking"),
+			RegionCapacity: backendpool.RegionCapacity{Region: identity.Region(fmt.Sprint("r", number)), Backends: float64(rapid.IntRange(0, 30).Draw(t, "back ends"))},
+			Own:            own && number == 0,
+			Known:          rapid.Bool().Draw(t, "known"),
+			Lacking:        rapid.IntRange(0, 8000).Draw(t, "lacking"),
 		}
 		region.Reading = float64(rapid.IntRange(0, 24000).Draw(t, "reading")) * region.Backends
 		region.InFlight = float64(rapid.IntRange(0, 24).Draw(t, "in flight")) * region.Backends
@@ -97,8 +97,8 @@
 		first   identity.Region
 	}{{0, "own"}, {wayCost - 1, "own"}, {wayCost + 1, "other"}} {
 		regions := []Region{
-			{Room: backendpool.Room{Region: "own", Backends: 1, Reading: example.waiting}, Own: true, Known: true},
-			{Room: backendpool.Room{Region: "other", Backends: 1}, Known: true, Free: 1},
+			{RegionCapacity: backendpool.RegionCapacity{Region: "own", Backends: 1, Reading: example.waiting}, Own: true, Known: true},
+			{RegionCapacity: backendpool.RegionCapacity{Region: "other", Backends: 1}, Known: true, Free: 1},
 		}
 		assert.Equal(t, Order(regions, true)[0].Region, example.first, "%v tokens wait", example.waiting)
 	}
@@ -108,8 +108,8 @@
 // taken, though the way costs more than waiting would.
 func TestUnlimitedRequestLeavesAFullRegion(t *testing.T) {
 	regions := []Region{
-		{Room: backendpool.Room{Region: "own", Backends: 2, Slots: 12, InFlight: 12}, Own: true, Known: true},
-		{Room: backendpool.Room{Region: "other", Backends: 2, Slots: 12}, Known: true, Free: 12},
+		{RegionCapacity: backendpool.RegionCapacity{Region: "own", Backends: 2, Slots: 12, InFlight: 12}, Own: true, Known: true},
+		{RegionCapacity: backendpool.RegionCapacity{Region: "other", Backends: 2, Slots: 12}, Known: true, Free: 12},
 	}
 	assert.Equal(t, Order(regions, false)[0].Region, identity.Region("other"))
 	assert.Equal(t, Order(regions, true)[0].Region, identity.Region("own"))
@@ -153,7 +153,7 @@
 func benchmarkOrder(b *testing.B, count int) {
 	regions := make([]Region, count)
 	for index := range regions {
-		regions[index] = Region{Room: backendpool.Room{Region: identity.Region(fmt.Sprint("r", index)), Backends: 30, Slots: 720, Reading: float64(index * 1000)}, Own: index == 0, Known: true, Free: 100, Lacking: 3780}
+		regions[index] = Region{RegionCapacity: backendpool.RegionCapacity{Region: identity.Region(fmt.Sprint("r", index)), Backends: 30, Slots: 720, Reading: float64(index * 1000)}, Own: index == 0, Known: true, Free: 100, Lacking: 3780}
 	}
 	credit := NewCredit(rand.Float64)
 	for number := range b.N {
--- a/internal/directory/listing.go
+++ b/internal/directory/listing.go
@@ -82,7 +82,7 @@
 	if before == 0 || port.EraOf(to) == port.EraOf(before) {
 		return
 	}
-	d.options.Pool.HoldDraining(clock.Now())
+	d.options.Pool.PinDraining(clock.Now())
 	d.options.Log.WithFields(logrus.Fields{"era": port.EraOf(to), "store_version": port.VersionOf(to), "known_to": port.VersionOf(before)}).
 		Warn("The store has come back from a copy; its list of back ends is taken over.")
 }
--- a/internal/loadhome/findings.go
+++ b/internal/loadhome/findings.go
@@ -66,7 +66,7 @@
 func (h *Homes) hearFindings(_ string, got findingMessage) {
 	now := clock.Now()
 	for _, sent := range got.Findings {
-		h.options.Pool.HearFinding(now, sent.finding())
+		h.options.Pool.ReceiveFinding(now, sent.finding())
 	}
 }
 
@@ -75,7 +75,7 @@
 func (h *Homes) tellKnown(now time.Time, to string, keys []uint64) {
 	var known []compactFinding
 	for _, key := range keys {
-		if finding := h.options.Pool.Known(now, key); !finding.IsEmpty() {
+		if finding := h.options.Pool.FindingOf(now, key); !finding.IsEmpty() {
 			known = append(known, compact(finding))
 		}
 	}
@@ -90,5 +90,5 @@
 	for index, sent := range got.Findings {
 		known[index] = sent.finding()
 	}
-	h.options.Pool.HearKnown(clock.Now(), known)
+	h.options.Pool.ReceiveHomeFindings(clock.Now(), known)
 }
--- a/internal/loadhome/findings_test.go
+++ b/internal/loadhome/findings_test.go
@@ -13,11 +13,11 @@
 )
 
 // probe probes the suspects of all daemons' pools; gone tells which back ends can't be reached.
-func (f *fleet) probe(gone func(backendpool.Suspect) bool) (probes int) {
+func (f *fleet) probe(gone func(backendpool.ProbeTarget) bool) (probes int) {
 	for _, each := range f.daemons {
-		for _, suspect := range each.pool.Suspects(time.Now()) {
+		for _, suspect := range each.pool.TakeDueProbes(time.Now()) {
 			probes++
-			each.pool.Probed(time.Now(), suspect.ID, !gone(suspect))
+			each.pool.RecordProbe(time.Now(), suspect.ID, !gone(suspect))
 		}
 	}
 	return probes
@@ -29,10 +29,10 @@
 func TestOneDaemonsFindingsReachWhoSendsNext(t *testing.T) {
 	for name, find := range map[string]func(*backendpool.Pool, *backendpool.Ticket){
 		"unreached": func(_ *backendpool.Pool, ticket *backendpool.Ticket) {
-			ticket.Release(time.Now(), backendpool.ResultUnreached)
+			ticket.Release(time.Now(), backendpool.ResultUnreachable)
 		},
 		"draining": func(pool *backendpool.Pool, ticket *backendpool.Ticket) {
-			pool.Note(time.Now(), ticket.Backend.ID, backendpool.Notice{Draining: true})
+			pool.RecordNotice(time.Now(), ticket.Backend.ID, backendpool.Notice{Draining: true})
 			ticket.Release(time.Now(), backendpool.ResultServed)
 		},
 	} {
@@ -46,7 +46,7 @@
 				gone := ticket.Backend.ID
 				find(finder.pool, ticket)
 				time.Sleep(50 * time.Millisecond)
-				probes := fleet.probe(func(suspect backendpool.Suspect) bool { return suspect.ID == gone })
+				probes := fleet.probe(func(suspect backendpool.ProbeTarget) bool { return suspect.ID == gone })
 				assert.Assert(t, probes <= homesEach+1, "%d probes", probes)
 				for number, asking := range fleet.daemons {
 					var keys []uint64
@@ -56,7 +56,7 @@
 					asking.homes.Refresh(context.Background(), keys)
 					time.Sleep(time.Millisecond) // here datagrams that are sent together may overtake each other
 					for range 10 {
-						picked := asking.pool.Pick(time.Now(), backendpool.Query{Service: "s", Among: keys})
+						picked := asking.pool.Pick(time.Now(), backendpool.Query{Service: "s", CandidateKeys: keys})
 						assert.Assert(t, picked.Backend.ID != gone, "by daemon %d", number)
 						picked.Release(time.Now(), backendpool.ResultServed)
 					}
@@ -75,10 +75,10 @@
 		time.Sleep(time.Second)
 		cut := fleet.daemons[3]
 		for range backends {
-			cut.pool.Pick(time.Now(), backendpool.Query{Service: "s"}).Release(time.Now(), backendpool.ResultUnreached)
+			cut.pool.Pick(time.Now(), backendpool.Query{Service: "s"}).Release(time.Now(), backendpool.ResultUnreachable)
 		}
 		time.Sleep(50 * time.Millisecond)
-		fleet.probe(func(backendpool.Suspect) bool { return false })
+		fleet.probe(func(backendpool.ProbeTarget) bool { return false })
 		for _, asking := range fleet.daemons {
 			if asking == cut {
 				continue
@@ -86,7 +86,7 @@
 			keys := []uint64{rendezvous.Key(string(backendID(0))), rendezvous.Key(string(backendID(1)))}
 			asking.homes.Refresh(context.Background(), keys)
 			for _, state := range asking.pool.States(time.Now()) {
-				assert.Assert(t, !state.Doubted, "%s", state.Backend.ID)
+				assert.Assert(t, !state.Ejected, "%s", state.Backend.ID)
 			}
 		}
 	})
--- a/internal/loadhome/ledger.go
+++ b/internal/loadhome/ledger.go
@@ -27,7 +27,7 @@
 func (l *ledger) note(now time.Time, from string, load backendpool.Load) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if load.Empty() {
+	if load.IsEmpty() {
 		delete(l.notes[load.Key], from)
 		return
 	}
@@ -49,7 +49,7 @@
 			continue
 		}
 		if from != except {
-			sum = sum.Plus(noted.load)
+			sum = sum.Add(noted.load)
 		}
 	}
 	return sum
--- a/internal/loadhome/limits.go
+++ b/internal/loadhome/limits.go
@@ -28,20 +28,20 @@
 // limitMessage tells limits of requests that back ends have named.
 type limitMessage struct{ Limits []compactLimit }
 
-// compactLimit is a backendpool.ToldLimit as it is sent.
+// compactLimit is a backendpool.BackendLimit as it is sent.
 type compactLimit struct {
 	Key, Version uint64
 	InForce      bool
 	PerSecond    float64
 }
 
-func (c compactLimit) told() backendpool.ToldLimit {
-	return backendpool.ToldLimit{
+func (c compactLimit) told() backendpool.BackendLimit {
+	return backendpool.BackendLimit{
 		Key: c.Key, Limit: backendpool.RequestLimit{Version: c.Version, InForce: c.InForce, PerSecond: c.PerSecond},
 	}
 }
 
-func compactLimits(told []backendpool.ToldLimit) *limitMessage {
+func compactLimits(told []backendpool.BackendLimit) *limitMessage {
 	message := &limitMessage{}
 	for _, each := range told {
 		message.Limits = append(message.Limits, compactLimit{
@@ -58,8 +58,8 @@
 
 // noteLimits tells what this daemon has heard of limits: all other daemons where these are few, else the homes, which tell
 // those that ask them for loads.
-func (h *Homes) noteLimits(told []backendpool.ToldLimit) {
-	byDaemon := map[string][]backendpool.ToldLimit{}
+func (h *Homes) noteLimits(told []backendpool.BackendLimit) {
+	byDaemon := map[string][]backendpool.BackendLimit{}
 	for _, each := range told {
 		for _, daemon := range h.toldLimits(each.Key) {
 			if daemon != h.self {
@@ -114,7 +114,7 @@
 }
 
 // sendLimits tells a daemon some limits, or that there are none.
-func (h *Homes) sendLimits(to string, limits []backendpool.ToldLimit) {
+func (h *Homes) sendLimits(to string, limits []backendpool.BackendLimit) {
 	for len(limits) > limitsEach {
 		peerlink.Tell(h.options.Link, to, peerlink.KindRequestLimits, compactLimits(limits[:limitsEach]))
 		limits = limits[limitsEach:]
@@ -125,11 +125,11 @@
 // hearLimits takes in what another daemon knows of limits.
 func (h *Homes) hearLimits(from string, got limitMessage) {
 	h.limitsTold.Store(true)
-	told := make([]backendpool.ToldLimit, len(got.Limits))
+	told := make([]backendpool.BackendLimit, len(got.Limits))
 	for index, sent := range got.Limits {
 		told[index] = sent.told()
 	}
-	for _, id := range h.options.Pool.HearLimits(clock.Now(), told) {
+	for _, id := range h.options.Pool.ReceiveLimits(clock.Now(), told) {
 		limit := h.options.Pool.RequestLimit(id)
 		h.options.Log.WithFields(logrus.Fields{
 			"backend": id.Name(), "from": from, "in_force": limit.InForce, "limit_per_second": limit.PerSecond, "limit_version": limit.Version,
--- a/internal/loadhome/limits_test.go
+++ b/internal/loadhome/limits_test.go
@@ -14,8 +14,8 @@
 
 // hears lets a daemon have an answer of a back end that names a limit.
 func (d *daemon) hears(number int, perSecond float64) {
-	notice := backendpool.Notice{Limit: backendpool.LimitNotice{Word: backendpool.LimitNamed, PerSecond: perSecond}}
-	d.pool.Note(time.Now(), backendID(number), notice)
+	notice := backendpool.Notice{Limit: backendpool.LimitNotice{Kind: backendpool.LimitNamed, PerSecond: perSecond}}
+	d.pool.RecordNotice(time.Now(), backendID(number), notice)
 }
 
 // TestLimitsReachOthersBeforeTheirFirstRequest lets one daemon hear a back end name, change and end a limit: few others know
--- a/internal/loadhome/loadhome.go
+++ b/internal/loadhome/loadhome.go
@@ -116,8 +116,8 @@
 			return nil
 		case <-h.options.Pool.Changed():
 			h.noteAll(h.options.Pool.ChangedLoads())
-			h.noteFindings(h.options.Pool.Findings())
-			h.noteLimits(h.options.Pool.LimitsToTell())
+			h.noteFindings(h.options.Pool.TakeFindings())
+			h.noteLimits(h.options.Pool.TakeChangedLimits())
 		case <-h.listed:
 			listed = true
 			h.askLimits()
@@ -181,12 +181,12 @@
 		home := h.asked(now, key)
 		if home == h.self {
 			loads = append(loads, h.ledger.sum(now, key, h.self))
-			h.options.Pool.HearKnown(now, []backendpool.Finding{h.options.Pool.Known(now, key)})
+			h.options.Pool.ReceiveHomeFindings(now, []backendpool.Finding{h.options.Pool.FindingOf(now, key)})
 			continue
 		}
 		byHome[home] = append(byHome[home], key)
 	}
-	h.options.Pool.NoteOthers(append(loads, h.ask(ctx, byHome)...))
+	h.options.Pool.UpdateOthersLoad(append(loads, h.ask(ctx, byHome)...))
 }
 
 // asked is the home of a back end that is asked: the first one that answers.
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -54,7 +54,7 @@
 type message struct {
 	Loads  []CompactLoad
 	Facts  []fact
-	Doubts []backendpool.Doubt
+	Doubts []backendpool.FailureReport
 }
 
 // CompactLoad is a load in whole numbers, which are shorter.
@@ -82,7 +82,7 @@
 	Dropped bool
 }
 
-func newMessage(loads []backendpool.Load, facts []promptcache.Fact, doubts []backendpool.Doubt) *message {
+func newMessage(loads []backendpool.Load, facts []promptcache.Fact, doubts []backendpool.FailureReport) *message {
 	told := &message{Doubts: doubts}
 	for _, each := range loads {
 		told.Loads = append(told.Loads, Compact(each))
@@ -167,7 +167,7 @@
 	}
 	s.options.Pool.SetOthersLoad(s.merge(now), true)
 	loads := s.options.Pool.Loads(MaximumLoads)
-	facts, doubts := s.options.Memory.Untold(), s.options.Pool.Doubts()
+	facts, doubts := s.options.Memory.Untold(), s.options.Pool.TakeFailureReports()
 	if len(facts)+len(doubts) == 0 && slices.Equal(loads, s.told) && now.Sub(s.toldAt) < idleInterval {
 		return
 	}
@@ -179,7 +179,7 @@
 // few other daemons hear each turn that this one is there.
 func (s *Sharer) shareAmongMany(now time.Time) {
 	large, few := split(s.options.Memory.Untold())
-	doubts := s.options.Pool.Doubts()
+	doubts := s.options.Pool.TakeFailureReports()
 	if len(s.options.Others()) > MaximumTold && s.options.TellHomes != nil {
 		s.options.TellHomes(large)
 		large, doubts = nil, nil // homes of the back ends keep what is found out of them
@@ -202,7 +202,7 @@
 
 // tellAll tells all of many daemons of doubts and of large parts, without the loads, which
 // are longer and told again soon. Parts are gathered for a moment.
-func (s *Sharer) tellAll(now time.Time, large []promptcache.Fact, doubts []backendpool.Doubt) {
+func (s *Sharer) tellAll(now time.Time, large []promptcache.Fact, doubts []backendpool.FailureReport) {
 	s.gathered = append(s.gathered, large...)
 	early := now.Sub(s.toldAllAt) < gatherTime
 	if len(doubts) == 0 && (len(s.gathered) == 0 || early) {
@@ -240,7 +240,7 @@
 func (s *Sharer) receiveFacts(from string, got message) {
 	now := clock.Now()
 	s.options.Memory.Heard(now, got.facts())
-	s.options.Pool.HearDoubts(now, from, got.Doubts)
+	s.options.Pool.ReceiveFailureReports(now, from, got.Doubts)
 }
 
 // merge adds up what was heard lately.
@@ -254,7 +254,7 @@
 			continue
 		}
 		for _, load := range told.loads {
-			merged[load.Key] = merged[load.Key].Plus(load)
+			merged[load.Key] = merged[load.Key].Add(load)
 		}
 	}
 	return merged
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -41,7 +41,7 @@
 // New makes a Prober that does nothing until it runs.
 func New(options Options) *Prober {
 	made := &Prober{options: options, woken: make(chan struct{}, 1)}
-	options.Pool.OnSuspected(made.wake)
+	options.Pool.OnProbeRequested(made.wake)
 	return made
 }
 
@@ -73,13 +73,13 @@
 
 // look probes the suspects of now.
 func (p *Prober) look(ctx context.Context, now time.Time) {
-	for _, suspect := range p.options.Pool.Suspects(now) {
+	for _, suspect := range p.options.Pool.TakeDueProbes(now) {
 		go p.probe(ctx, suspect)
 	}
 }
 
 // probe tells the pool whether one back end can be reached.
-func (p *Prober) probe(ctx context.Context, suspect backendpool.Suspect) {
+func (p *Prober) probe(ctx context.Context, suspect backendpool.ProbeTarget) {
 	began := clock.Now()
 	reached := p.reach(ctx, suspect.Address)
 	if ctx.Err() != nil {
@@ -88,10 +88,10 @@
 	log := p.options.Log.WithFields(logrus.Fields{
 		"backend": suspect.ID, "address": suspect.Address, "took_ms": clock.Since(began).Milliseconds(),
 	})
-	switch p.options.Pool.Probed(clock.Now(), suspect.ID, reached) {
-	case backendpool.ProbeTookOut:
+	switch p.options.Pool.RecordProbe(clock.Now(), suspect.ID, reached) {
+	case backendpool.ProbeEjected:
 		log.Warn("A back end can't be reached and is taken out.")
-	case backendpool.ProbeBroughtBack:
+	case backendpool.ProbeReinstated:
 		log.Info("A back end can be reached again.")
 	}
 }
--- a/internal/prober/woken_test.go
+++ b/internal/prober/woken_test.go
@@ -19,7 +19,7 @@
 	for _, reached := range []bool{true, false} {
 		pool := backendpool.New("a")
 		told := make(chan bool, 4)
-		pool.OnChecked(func(_ identity.BackendID, reached bool) { told <- reached })
+		pool.OnReachability(func(_ identity.BackendID, reached bool) { told <- reached })
 		prober := New(Options{
 			Pool: pool, Log: logging.Discard(), Reach: func(context.Context, string) bool { return reached },
 		})
@@ -30,7 +30,7 @@
 			_ = prober.Run(ctx)
 			close(ended)
 		}()
-		pool.Pick(time.Now(), backendpool.Query{Service: "s"}).Release(time.Now(), backendpool.ResultCut)
+		pool.Pick(time.Now(), backendpool.Query{Service: "s"}).Release(time.Now(), backendpool.ResultConnectionLost)
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
 			if len(told) > 0 {
 				return poll.Success()
--- a/internal/relay/backendlimit.go
+++ b/internal/relay/backendlimit.go
@@ -34,7 +34,7 @@
 // Room is asked for before the request is queued anywhere: where there is none, it goes elsewhere at once.
 func (r *run) tryQuery(ctx context.Context, query backendpool.Query) *backendpool.Ticket {
 	for tries := 0; ; tries++ {
-		query.Unlimited = tries >= maximumLimitTries
+		query.ExcludeLimited = tries >= maximumLimitTries
 		ticket, shortage := r.relay.options.Pool.PickOrExplain(r.now(), query)
 		if ticket == nil {
 			r.shortage = shortage
--- a/internal/relay/choosing.go
+++ b/internal/relay/choosing.go
@@ -70,7 +70,7 @@
 // limitQuery restricts a query to the back ends of the choice.
 func (r *run) limitQuery(query *backendpool.Query) {
 	if r.choice.made && !r.choice.Any {
-		query.Software, query.Only, query.Trial = r.choice.Version, r.choice.Backends, r.choice.Trial
+		query.Software, query.AllowedKeys, query.Trial = r.choice.Version, r.choice.Backends, r.choice.Trial
 	}
 }
 
--- a/internal/relay/choosing_test.go
+++ b/internal/relay/choosing_test.go
@@ -168,7 +168,7 @@
 			assert.Equal(t, caller.refusal.Reason, reasonUnconfirmedVersions)
 		}
 		for _, state := range world.pool.States(time.Now()) {
-			assert.Equal(t, state.Own, 0, "a place was not given back")
+			assert.Equal(t, state.OwnInFlight, 0, "a place was not given back")
 		}
 	})
 }
@@ -204,7 +204,7 @@
 	world.pool.Update(list)
 	held := world.pool.Pick(time.Now(), backendpool.Query{Service: "s", Software: "v2"})
 	stableAlone("full")
-	held.Release(time.Now(), backendpool.ResultUnreached)
+	held.Release(time.Now(), backendpool.ResultUnreachable)
 	stableAlone("doubted")
 	world.pool.Update(list[:1])
 	stableAlone("gone")
@@ -302,7 +302,7 @@
 	assert.Assert(t, versions.sent[0].Trial)
 	assert.Assert(t, !versions.sent[1].Trial)
 	assert.Equal(t, softwareOf(world, world.backends.dispatches[1].Backend), identity.SoftwareVersion("v1"))
-	assert.Equal(t, versions.ended[0].Result, backendpool.ResultCut)
+	assert.Equal(t, versions.ended[0].Result, backendpool.ResultConnectionLost)
 	assert.Assert(t, versions.ended[0].FirstByte > 0)
 
 	world.ask(func(request *Request) { request.ResumeAfter = "3" })
@@ -340,9 +340,9 @@
 		behaveFailure:      {Result: backendpool.ResultFailed, Status: http.StatusInternalServerError, BackendFailed: true},
 		behaveInvalid:      {Result: backendpool.ResultFailed, Status: http.StatusOK},
 		behaveRejected:     {Result: backendpool.ResultRejected, Status: http.StatusServiceUnavailable},
-		behaveUnreached:    {Result: backendpool.ResultUnreached},
-		behaveLostAfterRun: {Result: backendpool.ResultCut},
-		behaveCutBody:      {Result: backendpool.ResultCut, Status: http.StatusOK},
+		behaveUnreached:    {Result: backendpool.ResultUnreachable},
+		behaveLostAfterRun: {Result: backendpool.ResultConnectionLost},
+		behaveCutBody:      {Result: backendpool.ResultConnectionLost, Status: http.StatusOK},
 	} {
 		for _, kind := range []routing.Kind{routing.KindSafe, routing.KindUnsafe} {
 			world, versions := newVersionWorld(routing.Route{Kind: kind, MaxAttempts: 2}, 1, 0, 0)
--- a/internal/relay/crashes.go
+++ b/internal/relay/crashes.go
@@ -61,7 +61,7 @@
 func (r *run) noteCrash(ticket *backendpool.Ticket, ended failure) {
 	fingerprint, crashes := r.admitted.fingerprint, r.relay.options.Crashes
 	switch {
-	case ended.result == backendpool.ResultCut:
+	case ended.result == backendpool.ResultConnectionLost:
 		crashes.Lost(fingerprint, ticket.Backend.ID)
 	case ended.result == backendpool.ResultServed, ended.reason == reasonBackendFailure:
 		crashes.Served(fingerprint)
--- a/internal/relay/notices_test.go
+++ b/internal/relay/notices_test.go
@@ -20,12 +20,12 @@
 func TestAllBackingOffRefusesAtOnce(t *testing.T) {
 	made := newWorld(routing.Route{Kind: routing.KindSafe, MaxAttempts: 2, TargetLatency: time.Second}, 3, 10)
 	began := time.Now()
-	made.pool.Note(began, "b0", backendpool.Notice{RetryAfter: 2 * time.Second})
-	made.pool.Note(began, "b1", backendpool.Notice{RetryAfter: 8 * time.Second})
+	made.pool.RecordNotice(began, "b0", backendpool.Notice{RetryAfter: 2 * time.Second})
+	made.pool.RecordNotice(began, "b1", backendpool.Notice{RetryAfter: 8 * time.Second})
 	assert.Equal(t, made.ask(nil).head.Status, http.StatusOK)
 	assert.Equal(t, string(made.backends.dispatches[0].Backend), "b2")
 
-	made.pool.Note(time.Now(), "b2", backendpool.Notice{RetryAfter: 8 * time.Second})
+	made.pool.RecordNotice(time.Now(), "b2", backendpool.Notice{RetryAfter: 8 * time.Second})
 	least, most := time.Hour, time.Duration(0)
 	for range 200 {
 		refusal := made.ask(nil).refusal
@@ -68,7 +68,7 @@
 	made := newWorld(routing.Route{Kind: routing.KindSafe, MaxAttempts: 2, TargetLatency: 5 * time.Second}, 1, 10)
 	backends := &trialBackends{scriptedBackends: made.backends, released: make(chan struct{})}
 	made.relay.options.Backends = backends
-	made.pool.Note(time.Now(), "b0", backendpool.Notice{RetryAfter: 10 * time.Millisecond})
+	made.pool.RecordNotice(time.Now(), "b0", backendpool.Notice{RetryAfter: 10 * time.Millisecond})
 	time.Sleep(20 * time.Millisecond)
 
 	const callers = 20
@@ -119,8 +119,8 @@
 		asking.Go(func() { callers[number] = made.ask(nil) })
 	}
 	time.Sleep(50 * time.Millisecond)
-	made.pool.Note(time.Now(), "b0", backendpool.Notice{RetryAfter: time.Minute})
-	made.pool.Note(time.Now(), "b1", backendpool.Notice{Draining: true})
+	made.pool.RecordNotice(time.Now(), "b0", backendpool.Notice{RetryAfter: time.Minute})
+	made.pool.RecordNotice(time.Now(), "b1", backendpool.Notice{Draining: true})
 	asking.Wait()
 	for number, caller := range callers {
 		assert.Equal(t, caller.body.String(), "whole body", "caller %d", number)
--- a/internal/relay/pick.go
+++ b/internal/relay/pick.go
@@ -115,17 +115,17 @@
 func (r *run) tryAsked(ctx context.Context, loads Loads, query backendpool.Query) *backendpool.Ticket {
 	r.askForParts(ctx, loads)
 	for range mostSamples {
-		sampled := r.relay.options.Pool.Sample(r.now(), query, query.Among)
+		sampled := r.relay.options.Pool.Sample(r.now(), query, query.CandidateKeys)
 		if len(sampled) == 0 {
 			break
 		}
 		loads.Refresh(ctx, sampled)
-		query.Among = append(query.Among, sampled...)
+		query.CandidateKeys = append(query.CandidateKeys, sampled...)
 		if ticket := r.tryQuery(ctx, query); ticket != nil {
 			return ticket
 		}
 	}
-	if query.Among == nil {
+	if query.CandidateKeys == nil {
 		return r.tryQuery(ctx, query)
 	}
 	return nil
--- a/internal/relay/received.go
+++ b/internal/relay/received.go
@@ -35,23 +35,23 @@
 // noteNotice takes in what the back end says of itself in an answer's head.
 func (r *run) noteNotice(ticket *backendpool.Ticket, answer *Answer) {
 	r.attempt.Notice = answer.Notice
-	learnt := ticket.Answered(r.now(), answer.Notice, receptionOf(answer.Verdict))
-	if learnt.Noticed {
+	learnt := ticket.RecordResponseHeader(r.now(), answer.Notice, receptionOf(answer.Verdict))
+	if learnt.NoticeIsNew {
 		r.relay.options.Journal.Noticed(r.admitted.request, ticket.Backend.ID, answer.Notice)
 	}
-	if learnt.Refuses {
+	if learnt.BecameRefusing {
 		r.relay.options.Journal.Ejected(ticket.Backend.ID, backendpool.ResultRejected)
 	}
 }
 
 // receptionOf tells by an answer's verdict how the back end received the request.
-func receptionOf(verdict Verdict) backendpool.Reception {
+func receptionOf(verdict Verdict) backendpool.Admission {
 	switch verdict {
 	case VerdictAnswer:
-		return backendpool.ReceptionTook
+		return backendpool.AdmissionAccepted
 	case VerdictNotRun:
-		return backendpool.ReceptionRefused
+		return backendpool.AdmissionRefused
 	default:
-		return backendpool.ReceptionOther
+		return backendpool.AdmissionUnknown
 	}
 }
--- a/internal/relay/regions.go
+++ b/internal/relay/regions.go
@@ -68,7 +68,7 @@
 	try := func(region regionchoice.Region) *backendpool.Ticket {
 		ticket := r.tryNear(ctx, r.within(query, region.Region))
 		if ticket == nil {
-			shortage = shortage.Plus(r.shortage)
+			shortage = shortage.Add(r.shortage)
 		}
 		return ticket
 	}
@@ -120,12 +120,12 @@
 func (r *run) regions(query backendpool.Query) []regionchoice.Region {
 	pool := r.relay.options.Pool
 	var found []regionchoice.Region
-	rooms := pool.Rooms(r.now(), query.Service)
-	for _, lacking := range pool.Lacking(r.now(), query) {
-		region := regionchoice.Region{Room: backendpool.Room{Region: lacking.Region}, Own: lacking.Region == pool.Region(), Lacking: lacking.Tokens}
+	rooms := pool.RegionCapacities(r.now(), query.Service)
+	for _, lacking := range pool.UncachedByRegion(r.now(), query) {
+		region := regionchoice.Region{RegionCapacity: backendpool.RegionCapacity{Region: lacking.Region}, Own: lacking.Region == pool.Region(), Lacking: lacking.Tokens}
 		for _, room := range rooms {
 			if room.Region == region.Region && region.Own {
-				region.Room, region.Known = room, true
+				region.RegionCapacity, region.Known = room, true
 				region.Free = room.Free(query.Limits, query.SharedTokens+query.OwnTokens)
 			}
 		}
@@ -144,7 +144,7 @@
 		region := &regions[index]
 		for _, room := range told {
 			if room.Region == region.Region && !region.Own {
-				region.Room, region.Known, region.ToldAt, region.Outside = room.Room, true, room.At, room.Outside
+				region.RegionCapacity, region.Known, region.ToldAt, region.Outside = room.RegionCapacity, true, room.At, room.Outside
 				region.Free = room.Free(query.Limits, query.SharedTokens+query.OwnTokens)
 			}
 		}
@@ -160,8 +160,8 @@
 		return options.Rooms.Rooms(ctx, query.Service)
 	}
 	var told []roomshare.RoomReport
-	for _, room := range options.Pool.Rooms(r.now(), query.Service) {
-		told = append(told, roomshare.RoomReport{Room: room, At: r.now(), Outside: options.Daemons()})
+	for _, room := range options.Pool.RegionCapacities(r.now(), query.Service) {
+		told = append(told, roomshare.RoomReport{RegionCapacity: room, At: r.now(), Outside: options.Daemons()})
 	}
 	return told
 }
@@ -169,7 +169,7 @@
 // within returns a query for the back ends of a region.
 func (r *run) within(query backendpool.Query, region identity.Region) backendpool.Query {
 	query.Region = region
-	query.FarMoves = r.relay.farMoves(r.admitted)
+	query.FastCrossRegionMoves = r.relay.farMoves(r.admitted)
 	if query.Cached != nil {
 		query.Cached = func(version uint64) backendpool.Cached { return r.relay.cached(r.admitted, version, region) }
 	}
--- a/internal/relay/regions_test.go
+++ b/internal/relay/regions_test.go
@@ -77,7 +77,7 @@
 }
 
 func told(region identity.Region, free float64) roomshare.RoomReport {
-	return roomshare.RoomReport{Room: backendpool.Room{Region: region, Backends: free, Slots: free}, At: time.Now(), Outside: 1}
+	return roomshare.RoomReport{RegionCapacity: backendpool.RegionCapacity{Region: region, Backends: free, Slots: free}, At: time.Now(), Outside: 1}
 }
 
 var streamingRoute = routing.Route{Kind: routing.KindStreaming, MaxAttempts: 1, TargetLatency: 300 * time.Millisecond}
@@ -171,7 +171,7 @@
 	world, _ := newRegions(streamingRoute, "a", "b")
 	for range 2 {
 		ticket := world.pool.Pick(time.Now(), backendpool.Query{Service: "s"})
-		ticket.Release(time.Now(), backendpool.ResultUnreached)
+		ticket.Release(time.Now(), backendpool.ResultUnreachable)
 	}
 	assert.Equal(t, world.ask(nil).body.String(), eventsText(1, 3))
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -89,7 +89,7 @@
 		options.BackendLimits = noBackendLimits{}
 	}
 	made := &Relay{options: options, links: newLinkBudgets(), waiting: newWaitingLists(options.Now), begins: newBeginTimes(), credit: regionchoice.NewCredit(rand.Float64)}
-	options.Pool.OnFreed(made.waiting.wakeFirst)
+	options.Pool.OnCapacityFreed(made.waiting.wakeFirst)
 	return made
 }
 
@@ -227,7 +227,7 @@
 // requests or have no room under their limits; zero where not.
 func (r *Relay) returnAfter(service identity.ServiceName) time.Duration {
 	now := r.options.Now()
-	backAt := r.options.Pool.BackAt(now, service)
+	backAt := r.options.Pool.NextAvailableAt(now, service)
 	if backAt.IsZero() {
 		return 0
 	}
@@ -277,7 +277,7 @@
 	if target > 0 && float64(total) > shortShare*reading {
 		bound.Reading = reading
 	}
-	bound.Places = true
+	bound.EnforceSlots = true
 	if bound.Reading == 0 {
 		return bound
 	}
@@ -341,7 +341,7 @@
 // resultOf tells the pool what a failed sending says about the back end.
 func resultOf(evidence outcome.Evidence) backendpool.Result {
 	if evidence == outcome.Unreached {
-		return backendpool.ResultUnreached
+		return backendpool.ResultUnreachable
 	}
-	return backendpool.ResultCut
+	return backendpool.ResultConnectionLost
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -232,7 +232,7 @@
 		world.backends.mutex.Lock()
 		id := world.backends.dispatches[0].Backend
 		world.backends.mutex.Unlock()
-		world.pool.Probed(time.Now(), id, false)
+		world.pool.RecordProbe(time.Now(), id, false)
 	}
 	time.AfterFunc(50*time.Millisecond, lose)
 	started := time.Now()
--- a/internal/relay/sending.go
+++ b/internal/relay/sending.go
@@ -45,11 +45,11 @@
 			r.returnLimitGrant()
 		}
 	default:
-		ticket.Heard(r.now())
+		ticket.RecordActivity(r.now())
 		r.noteNotice(ticket, answer)
 		r.noteHead(answer)
 		if !answer.Stream {
-			ticket.Begun()
+			ticket.RecordFirstByte()
 		}
 		next, failed = r.take(sending, cancel, ticket, answer)
 	}
@@ -80,7 +80,7 @@
 // stillWanted returns an error where the back end has said that it wants no requests since it was chosen. A connection
 // may take 0.6 s to be made: a queue of sendings that wait for theirs would arrive long after the first refusal.
 func (r *run) stillWanted(ticket *backendpool.Ticket) error {
-	if ticket.Stands(r.now()) {
+	if ticket.StillValid(r.now()) {
 		return nil
 	}
 	return errUnwanted
@@ -107,7 +107,7 @@
 	switch cause := context.Cause(ctx); {
 	case cause == nil:
 	case errors.Is(cause, errSlow), errors.Is(cause, errDeadline):
-		if failed.result == backendpool.ResultCut {
+		if failed.result == backendpool.ResultConnectionLost {
 			failed.result = backendpool.ResultFailed
 		}
 	case errors.Is(cause, errOldWeights):
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -89,9 +89,9 @@
 			return r.brokenStream(ctx, "cut_stream")
 		}
 		watch.heard()
-		ticket.Heard(r.now())
+		ticket.RecordActivity(r.now())
 		if first {
-			ticket.Begun()
+			ticket.RecordFirstByte()
 			r.noteReplaced(true)
 			r.noteFirstByte()
 			r.begin.stop()
@@ -154,7 +154,7 @@
 func (r *run) brokenStream(ctx context.Context, reason string) (step, failure) {
 	failed := r.interrupted(ctx, failure{
 		evidence: outcome.Answered,
-		result:   backendpool.ResultCut,
+		result:   backendpool.ResultConnectionLost,
 		reason:   reasonOf(ctx, reason),
 	})
 	if r.begun {
--- a/internal/relay/whole.go
+++ b/internal/relay/whole.go
@@ -36,7 +36,7 @@
 		return r.passLong(ctx, answer, body.Bytes())
 	}
 	if err != io.EOF {
-		failed := failure{evidence: outcome.Answered, result: backendpool.ResultCut, reason: reasonOf(ctx, "cut_answer")}
+		failed := failure{evidence: outcome.Answered, result: backendpool.ResultConnectionLost, reason: reasonOf(ctx, "cut_answer")}
 		return stepAgain, r.interrupted(ctx, failed)
 	}
 	whole := &wholeAnswer{head: answer.Head, body: body.Bytes()}
@@ -81,7 +81,7 @@
 	}
 	if _, err := io.Copy(callerWriter{r}, answer.Body); err != nil {
 		r.caller.Abort()
-		return stepEnd, r.interrupted(ctx, failure{result: backendpool.ResultCut, reason: reasonOf(ctx, "cut_answer")})
+		return stepEnd, r.interrupted(ctx, failure{result: backendpool.ResultConnectionLost, reason: reasonOf(ctx, "cut_answer")})
 	}
 	_ = r.flush()
 	return stepEnd, failure{result: backendpool.ResultServed}
--- a/internal/requestlog/counters.go
+++ b/internal/requestlog/counters.go
@@ -135,7 +135,7 @@
 	if notice.RetryAfter > 0 {
 		c.notices.WithLabelValues("retry_after").Inc()
 	}
-	switch notice.Limit.Word {
+	switch notice.Limit.Kind {
 	case backendpool.LimitNamed:
 		c.notices.WithLabelValues("limit").Inc()
 	case backendpool.LimitNone:
--- a/internal/requestlog/requestlog.go
+++ b/internal/requestlog/requestlog.go
@@ -113,7 +113,7 @@
 	fields := logrus.Fields{"request": request.ID}
 	addBackend(fields, backend)
 	addNotice(fields, notice)
-	if notice.Limit.Word == backendpool.LimitNone {
+	if notice.Limit.Kind == backendpool.LimitNone {
 		fields["backend_limit_ended"] = true
 	}
 	j.log.WithFields(fields).Warn("A back end drains, asks for no requests, or changes how many it takes.")
@@ -127,7 +127,7 @@
 	if notice.RetryAfter > 0 {
 		fields["backend_retry_after_ms"] = notice.RetryAfter.Milliseconds()
 	}
-	if notice.Limit.Word == backendpool.LimitNamed {
+	if notice.Limit.Kind == backendpool.LimitNamed {
 		fields["backend_limit_per_second"] = notice.Limit.PerSecond
 	}
 }
--- a/internal/rollout/choice.go
+++ b/internal/rollout/choice.go
@@ -196,7 +196,7 @@
 func (t *traffic) classify(route string, ended relay.SendingEnd) (rollout.Result, bool) {
 	slow := ended.FirstByte > 0 && t.pace.Slow(route, ended.FirstByte, ended.Tokens)
 	switch {
-	case ended.BackendFailed, ended.Result == backendpool.ResultFailed, ended.Result == backendpool.ResultCut:
+	case ended.BackendFailed, ended.Result == backendpool.ResultFailed, ended.Result == backendpool.ResultConnectionLost:
 		return rollout.ResultBad, true
 	case slow && (ended.Result == backendpool.ResultServed || ended.Result == backendpool.ResultAbandoned):
 		return rollout.ResultSlow, true
--- a/internal/rollout/choice_test.go
+++ b/internal/rollout/choice_test.go
@@ -55,8 +55,10 @@
 func (b *steadyBelief) KeysOf(identity.ServiceName, identity.SoftwareVersion) []uint64 {
 	return b.keys
 }
-func (b *steadyBelief) InFlightAtOthers(identity.ServiceName, identity.SoftwareVersion) int { return 0 }
-func (b *steadyBelief) Backends() []backendpool.Backend                                     { return nil }
+func (b *steadyBelief) InFlightOnOtherVersions(identity.ServiceName, identity.SoftwareVersion) int {
+	return 0
+}
+func (b *steadyBelief) Backends() []backendpool.Backend { return nil }
 
 // newLone makes a Coordinator without other daemons, at a stage of an order.
 func newLone(stage rollout.Stage) (*Coordinator, *steadyBelief) {
--- a/internal/rollout/coordinator.go
+++ b/internal/rollout/coordinator.go
@@ -59,8 +59,8 @@
 	SoftwareVersions(service identity.ServiceName) map[identity.SoftwareVersion]int
 	// KeysOf are the hashes of the IDs of a service's listed back ends of a version.
 	KeysOf(service identity.ServiceName, version identity.SoftwareVersion) []uint64
-	// InFlightAtOthers is how many requests of this daemon are under way at back ends of other versions.
-	InFlightAtOthers(service identity.ServiceName, except identity.SoftwareVersion) int
+	// InFlightOnOtherVersions is how many requests of this daemon are under way at back ends of other versions.
+	InFlightOnOtherVersions(service identity.ServiceName, except identity.SoftwareVersion) int
 	// Backends are all listed back ends.
 	Backends() []backendpool.Backend
 }
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -340,7 +340,7 @@
 }
 
 // Own counts the daemon's requests that have a place at a back end of another version.
-func (m *member) InFlightAtOthers(service identity.ServiceName, except identity.SoftwareVersion) int {
+func (m *member) InFlightOnOtherVersions(service identity.ServiceName, except identity.SoftwareVersion) int {
 	count := 0
 	for _, each := range m.requests {
 		if each.choice.Service == service && each.version != except {
--- a/internal/rollout/reporter.go
+++ b/internal/rollout/reporter.go
@@ -106,7 +106,7 @@
 	reporter := c.reporterOf(service, order)
 	c.noteGranted(now, service, believed, reporter)
 	// Counted after the row was read, so that a request that was sent by an older row is included.
-	underWay := c.options.Backends.InFlightAtOthers(service, targetOf(believed))
+	underWay := c.options.Backends.InFlightOnOtherVersions(service, targetOf(believed))
 	message := reportMessage{
 		Service: service, Order: order, Incarnation: c.incarnation,
 		Row: believed.Standing.Row, UnderWay: underWay, Reads: c.options.Belief.Reads(),
--- a/internal/roomshare/message.go
+++ b/internal/roomshare/message.go
@@ -21,15 +21,15 @@
 	Tokens   uint64
 }
 
-func newServiceRoom(service identity.ServiceName, room backendpool.Room) serviceRoom {
+func newServiceRoom(service identity.ServiceName, room backendpool.RegionCapacity) serviceRoom {
 	return serviceRoom{
 		Service: service, Backends: uint32(room.Backends), Slots: uint32(room.Slots), InFlight: uint32(room.InFlight),
 		Reading: uint64(room.Reading), Tokens: uint64(room.Tokens),
 	}
 }
 
-func (r serviceRoom) room(region identity.Region) backendpool.Room {
-	return backendpool.Room{
+func (r serviceRoom) room(region identity.Region) backendpool.RegionCapacity {
+	return backendpool.RegionCapacity{
 		Region: region, Backends: float64(r.Backends), Slots: float64(r.Slots), InFlight: float64(r.InFlight),
 		Reading: float64(r.Reading), Tokens: float64(r.Tokens),
 	}
--- a/internal/roomshare/roomshare.go
+++ b/internal/roomshare/roomshare.go
@@ -126,7 +126,7 @@
 func (s *Sharer) sum() toldMessage {
 	told := toldMessage{Region: s.own}
 	for _, service := range s.options.Pool.Services() {
-		for _, room := range s.options.Pool.Rooms(clock.Now(), service) {
+		for _, room := range s.options.Pool.RegionCapacities(clock.Now(), service) {
 			if room.Region == s.own {
 				told.Services = append(told.Services, newServiceRoom(service, room))
 			}
@@ -169,7 +169,7 @@
 		}
 		for _, room := range heard.told.Services {
 			if room.Service == service {
-				rooms = append(rooms, RoomReport{Room: room.room(region), At: heard.at, Outside: s.outside(region)})
+				rooms = append(rooms, RoomReport{RegionCapacity: room.room(region), At: heard.at, Outside: s.outside(region)})
 			}
 		}
 	}
@@ -178,7 +178,7 @@
 
 // RoomReport is the room of a region with when it was heard, and how many daemons are outside it.
 type RoomReport struct {
-	backendpool.Room
+	backendpool.RegionCapacity
 	At      time.Time
 	Outside int
 }
--- a/internal/weightupdate/drain_test.go
+++ b/internal/weightupdate/drain_test.go
@@ -24,13 +24,13 @@
 	}{{true, 100 * time.Millisecond, drainTime / 2}, {false, drainTime, 2 * drainTime}} {
 		pool := backendpool.New("a")
 		pool.Update([]backendpool.Backend{{ID: id, Service: "llm"}})
-		pool.NoteOthers([]backendpool.Load{{Key: key, InFlight: 1}})
+		pool.UpdateOthersLoad([]backendpool.Load{{Key: key, InFlight: 1}})
 		began := time.Now()
 		keeper := New(Options{Pool: pool})
 		if example.asks {
 			keeper.options.Refresh = func(context.Context, identity.BackendID) {
 				if time.Since(began) > example.shortest {
-					pool.NoteOthers([]backendpool.Load{{Key: key}})
+					pool.UpdateOthersLoad([]backendpool.Load{{Key: key}})
 				}
 			}
 		}
--- a/internal/weightupdate/keeper.go
+++ b/internal/weightupdate/keeper.go
@@ -129,7 +129,7 @@
 
 func (k *Keeper) pending(now time.Time) bool {
 	for model, version := range k.options.Named.Targets() {
-		if k.options.Pool.AnyBehind(now, model, version) {
+		if k.options.Pool.AnyOutdated(now, model, version) {
 			return true
 		}
 	}
--- a/internal/weightupdate/pace_test.go
+++ b/internal/weightupdate/pace_test.go
@@ -60,7 +60,7 @@
 	measured := func() pace { return measuredPace(keeper, now, holders) }
 	assert.Equal(t, measured(), pace{loading: 2, out: 4})
 	for index := range 6 {
-		holders[index].Doubted = true
+		holders[index].Ejected = true
 	}
 	assert.Equal(t, measured(), pace{loading: 1, out: 2})
 	for index := range holders {
--- a/internal/weightupdate/turns.go
+++ b/internal/weightupdate/turns.go
@@ -11,7 +11,7 @@
 // soundOf returns the back ends that are neither doubted nor leaving for good.
 func soundOf(holders []backendpool.Holder) []backendpool.Holder {
 	return slices.DeleteFunc(holders, func(holder backendpool.Holder) bool {
-		return holder.Doubted || holder.Backend.Draining
+		return holder.Ejected || holder.Backend.Draining
 	})
 }
 
