--- a/internal/core/backendpool/shortage.go
+++ b/internal/core/backendpool/shortage.go
@@ -5,19 +5,17 @@
 	"time"
 )
 
-// Shortage says why a query found no back end: how many were looked at, and how
-// many of them would not do, each counted for the first reason that applies. Of a large service that are those that
-// were asked for, or drawn. One whose
-// address has gone to another back end, or that has ended, counts as draining. BackingOff have
-// asked this daemon for no requests, and Limited have no room under the limit that they named. Busy ones would do once
-// they have less under way.
-// OtherVersion are those that run another version of the service's software than the query
-// asks for, or that it doesn't name.
+// Shortage counts the back ends examined for a query that found none, by the first reason that excludes each. For a
+// large service these are the ones polled or sampled. Draining includes back ends that have ended or whose address
+// now belongs to another one. BackingOff ones have asked this daemon for no requests, and Limited ones have no
+// capacity left under their stated limits. Failed ones have already failed this request. OtherVersion ones run
+// another version of the service's software than the query requires, or aren't among those it allows. Busy ones
+// become suitable once their load falls.
 type Shortage struct {
 	Listed, Draining, BackingOff, Limited, Failed, OtherVersion, OldWeights, Busy int
 }
 
-// Add adds up what was found in two regions.
+// Add returns the sum of the shortages in two regions.
 func (s Shortage) Add(other Shortage) Shortage {
 	return Shortage{
 		Listed: s.Listed + other.Listed, Draining: s.Draining + other.Draining, BackingOff: s.BackingOff + other.BackingOff, Limited: s.Limited + other.Limited, Failed: s.Failed + other.Failed,
@@ -25,18 +23,18 @@
 	}
 }
 
-// shortage tells why a query finds no back end now. The caller holds the mutex.
+// shortage returns why a query finds no back end at this time. The caller holds the mutex.
 func (p *Pool) shortage(now time.Time, query Query) Shortage {
 	var shortage Shortage
 	scope := p.scope(now, query)
 	for _, found := range scope.entries {
 		shortage.Listed++
 		switch {
-		case found.isDraining(), found.isOver():
+		case found.isDraining(), found.hasEnded():
 			shortage.Draining++
 		case found.backsOff(now):
 			shortage.BackingOff++
-		case found.outOfRoom(now), query.ExcludeLimited && found.isLimited():
+		case found.limitExhausted(now), query.ExcludeLimited && found.isLimited():
 			shortage.Limited++
 		case slices.Contains(query.Exclude, found.backend.ID):
 			shortage.Failed++
--- a/internal/core/backendpool/software.go
+++ b/internal/core/backendpool/software.go
@@ -6,8 +6,7 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// admits tells whether a back end runs the software that the query asks for, and is one of
-// those that it names.
+// admits reports whether a back end runs the software that the query requires and is one of those it allows.
 func (q *Query) admits(found *entry) bool {
 	if q.Software != "" && found.backend.Software != q.Software {
 		return false
@@ -15,8 +14,8 @@
 	return q.AllowedKeys == nil || slices.Contains(q.AllowedKeys, found.key)
 }
 
-// SoftwareVersions counts the back ends of a service by the version of its software, without
-// those that are draining or whose address another one has.
+// SoftwareVersions counts the back ends of a service by software version, excluding those that are draining or have
+// ended or whose address now belongs to another one.
 func (p *Pool) SoftwareVersions(service identity.ServiceName) map[identity.SoftwareVersion]int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -29,8 +28,8 @@
 	return counts
 }
 
-// KeysOf returns the hashes of the IDs of a service's back ends of a version of its software,
-// ascending, without those that are draining or whose address another one has.
+// KeysOf returns the hashes of the IDs of a service's back ends with a software version in ascending order,
+// excluding those that are draining or have ended or whose address now belongs to another one.
 func (p *Pool) KeysOf(service identity.ServiceName, version identity.SoftwareVersion) []uint64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -44,11 +43,11 @@
 	return keys
 }
 
-// listed tells whether the back end is there to serve new requests.
-func (e *entry) listed() bool { return !e.isDraining() && !e.isOver() }
+// listed reports whether the back end is listed to serve new requests.
+func (e *entry) listed() bool { return !e.isDraining() && !e.hasEnded() }
 
-// InFlightOnOtherVersions is how many requests of this daemon are under way at back ends of a service that run
-// another version of its software than the given one. Those that are no longer listed count.
+// InFlightOnOtherVersions returns the number of this daemon's requests in flight at back ends of a service that run
+// another software version than the given one, including those no longer listed.
 func (p *Pool) InFlightOnOtherVersions(service identity.ServiceName, except identity.SoftwareVersion) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/core/backendpool/software_test.go
+++ b/internal/core/backendpool/software_test.go
@@ -13,7 +13,7 @@
 	"github.com/lotusward/lotusward/internal/core/rendezvous"
 )
 
-// versionsOracle keeps which back ends are listed and what is under way, in plain lists.
+// versionsOracle is a reference model with plain lists of back ends and requests in flight.
 type versionsOracle struct {
 	listed   []Backend
 	underWay []*Ticket
@@ -39,9 +39,9 @@
 	return count
 }
 
-// TestVersionsMatchASimpleOracle draws lists that change while requests are under way: what a
-// query asks for is kept, and the counts by version are those of plain lists. A request counts
-// until it ends, whatever becomes of its back end's entry.
+// TestVersionsMatchASimpleOracle changes the list while requests are in flight. Picks must satisfy the query, and
+// the counts by version must match the reference model. A request counts until it ends, even if its back end is no
+// longer listed.
 func TestVersionsMatchASimpleOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool, oracle := New("a"), &versionsOracle{}
@@ -84,7 +84,7 @@
 	})
 }
 
-// possible counts the back ends that will do for a query.
+// possible counts the back ends that are suitable for a query.
 func (o *versionsOracle) possible(query Query) int {
 	count := 0
 	for _, backend := range o.listed {
@@ -97,7 +97,7 @@
 	return count
 }
 
-// drawVersions draws a list. A back end keeps its version.
+// drawVersions draws a list. The version of a back end never changes.
 func drawVersions(t *rapid.T) []Backend {
 	var list []Backend
 	for index := range 5 {
@@ -114,7 +114,7 @@
 
 func keyOf(id identity.BackendID) uint64 { return rendezvous.Key(string(id)) }
 
-// versioned is a list whose back ends run v1, but for those from an index on, which run v2.
+// versioned returns a list in which the back ends from an index on run v2 and the others v1.
 func versioned(count, from int) []Backend {
 	list := engines(count)
 	for index := range list {
@@ -126,7 +126,7 @@
 	return list
 }
 
-// TestReplacedBackEndsCountInNoVersion gives the address of a back end to another one.
+// TestReplacedBackEndsCountInNoVersion checks that a back end whose address belongs to another one isn't counted.
 func TestReplacedBackEndsCountInNoVersion(t *testing.T) {
 	pool := New("a")
 	pool.Update(versioned(2, 1))
@@ -137,8 +137,7 @@
 	assert.Equal(t, len(pool.KeysOf("llm", "v1")), 0)
 }
 
-// TestShortageNamesOtherVersions tells back ends of another version apart from others that won't
-// do.
+// TestShortageNamesOtherVersions checks that a shortage counts back ends of another version separately.
 func TestShortageNamesOtherVersions(t *testing.T) {
 	pool := New("a")
 	list := versioned(5, 2)
@@ -152,8 +151,8 @@
 	assert.Equal(t, shortage, Shortage{Listed: 5, Draining: 1, OtherVersion: 4})
 }
 
-// TestSamplesKeepToTheVersion samples back ends, the prompt's holder and home included, of the
-// version that is asked for alone.
+// TestSamplesKeepToTheVersion checks that samples contain only back ends of the required version, even if the
+// prompt's holder or home runs another one.
 func TestSamplesKeepToTheVersion(t *testing.T) {
 	pool := New("a")
 	pool.SetDaemons(100)
@@ -167,15 +166,15 @@
 		query.CandidateKeys = sampled
 		ticket := pool.Pick(start, query)
 		assert.Equal(t, ticket.Backend.Software, identity.SoftwareVersion("v2"))
-		// Where the prompt is taken from may run any version: the weights are the same.
+		// The cache may be transferred from a back end with any software version: the weights are the same.
 		assert.Equal(t, ticket.Source.Holder.ID, identity.BackendID("engine-0"))
 		ticket.Release(start, ResultServed)
 		query.CandidateKeys = nil
 	}
 }
 
-// TestNewestWeightsAreOfUsableBackEnds has back ends of another version hold newer weights: that
-// makes the parts at usable ones no dearer.
+// TestNewestWeightsAreOfUsableBackEnds checks that newer weights at back ends of another software version don't
+// raise the cost of prefixes at suitable ones.
 func TestNewestWeightsAreOfUsableBackEnds(t *testing.T) {
 	pool := New("a")
 	list := versioned(4, 2)
@@ -186,9 +185,8 @@
 	assert.Equal(t, pool.newestVersion(start, Query{Service: "llm", Model: "m", AllowedKeys: []uint64{keyOf("engine-3")}}), uint64(1))
 }
 
-// TestTrialsTakeReachableBackEnds asks for a back end for a trial while the only one can't be
-// reached, while it is leaving, and while it is doubted since it failed requests. Other queries
-// take it all the time.
+// TestTrialsTakeReachableBackEnds checks that a trial request gets no back end while the only one is unreachable or
+// leaving, but does get one that is ejected for failed requests. Other requests get it in each case.
 func TestTrialsTakeReachableBackEnds(t *testing.T) {
 	pool := New("a")
 	pool.Update(versioned(1, 0))
@@ -214,9 +212,8 @@
 	assert.Assert(t, pool.Pick(start, trial) != nil)
 }
 
-// TestTrialsAreSpreadEvenly sends requests of a trial one after the other, pages and prompts of
-// which one back end holds all: each of the back ends gets about as many, and none while it is
-// full.
+// TestTrialsAreSpreadEvenly checks that sequential trial requests, with and without a model, are spread evenly over
+// the back ends although one has every prompt cached, and that a full back end gets none.
 func TestTrialsAreSpreadEvenly(t *testing.T) {
 	for _, model := range []identity.ModelName{"", "m"} {
 		pool := New("a")
--- a/internal/core/backendpool/states.go
+++ b/internal/core/backendpool/states.go
@@ -8,27 +8,27 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// State is what is believed of one back end, for operators.
+// State is the pool's view of one back end, for operators.
 type State struct {
 	Backend Backend
-	// Versions are of the weights that it is known to hold.
+	// Versions are the versions of the weights that it is known to hold.
 	Versions map[identity.ModelName]uint64
-	// Leaving is set when it says so, and while it is taken out of use on purpose.
+	// Leaving is set if it is draining or is being taken out of service deliberately.
 	Leaving bool
-	// Backoff is for how long it still wants no requests from this daemon.
+	// Backoff is the remaining time for which it asked this daemon for no requests.
 	Backoff time.Duration
-	// Refusing is set while it gets requests only where no other will do, since it refuses them.
+	// Refusing is set while it is used only as a last resort because it refuses requests.
 	Refusing bool
-	// Ejected is set while it gets no requests because of failed ones.
+	// Ejected is set while it gets no requests because of failures.
 	Ejected bool
-	// OwnInFlight is how many requests of this daemon are under way there, InFlight of all
-	// daemons, and Reading how much of their prompts waits to be read, in tokens.
+	// OwnInFlight is the number of this daemon's requests in flight there, InFlight that of all daemons, and
+	// Reading the outstanding prefill work, in tokens.
 	OwnInFlight int
 	InFlight    float64
 	Reading     float64
 }
 
-// States returns what is believed of all back ends, ordered by ID.
+// States returns the state of all back ends, ordered by ID.
 func (p *Pool) States(now time.Time) []State {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -42,7 +42,7 @@
 			Reading: found.reading + found.others.Reading,
 		}
 		if found.backsOff(now) {
-			state.Backoff = found.said.backoff.until.Sub(now)
+			state.Backoff = found.notices.backoff.until.Sub(now)
 		}
 		for model := range found.backend.Weights {
 			state.Versions[model] = found.version(model)
--- a/internal/core/backendpool/suspicion.go
+++ b/internal/core/backendpool/suspicion.go
@@ -10,77 +10,76 @@
 	"github.com/lotusward/lotusward/internal/core/rendezvous"
 )
 
-// Times of suspicion.
+// Parameters of probing.
 const (
-	// suspiciousSilence is how long nothing may come from a back end that has requests
-	// under way before it is probed.
-	suspiciousSilence = 300 * time.Millisecond
-	// probeInterval lies between two probes of a back end that answers them.
+	// silenceThreshold is how long a back end with requests in flight may send nothing before it is probed.
+	silenceThreshold = 300 * time.Millisecond
+	// probeInterval is the least time between probes of a back end that responds to them.
 	probeInterval = time.Second
-	// returnLead is how long before the end of its ejection an unreached back end is
-	// probed.
-	returnLead = 250 * time.Millisecond
-	// unreachedEjection is how long a back end is out after a failed probe. It is probed
-	// again before.
-	unreachedEjection = time.Second
-	// longestProbe is how long a probe may take at a busy daemon.
-	longestProbe = time.Second
-	// maximumSuspects bounds the probes that begin at a time: a daemon that is cut off
-	// itself may accuse many back ends.
-	maximumSuspects = 16
-	// silenceProbeRate and silenceProbeBurst bound a daemon's probes for silence alone.
-	// Where back ends are slow many are silent and well; the daemons together still find
-	// out soon about one that is not, and tell each other.
+	// reprobeLead is how long before the end of its ejection an unreachable back end is probed.
+	reprobeLead = 250 * time.Millisecond
+	// unreachableEjection is how long a back end is ejected after a failed probe. It is probed again before the
+	// end.
+	unreachableEjection = time.Second
+	// maxProbeDuration is how long a probe may take at a busy daemon.
+	maxProbeDuration = time.Second
+	// maxProbesPerRound bounds the probes for unreachability that start at one time: a partitioned daemon may
+	// report many back ends.
+	maxProbesPerRound = 16
+	// silenceProbeRate and silenceProbeBurst limit a daemon's probes for silence alone. Where back ends are slow,
+	// many are silent but healthy; the daemons together still soon detect a failed one and inform each other.
 	silenceProbeRate  = 0.5
 	silenceProbeBurst = 4
-	// hearsayProbers is about how many of all daemons probe a back end that they know from others alone to be out of
-	// reach: one that is gone would get a connection a second of each of hundreds until its row lapses.
-	hearsayProbers = 16
-	// hearsayTime is how long those that don't probe it leave it out since it was last told: others tell again.
-	hearsayTime = 3 * time.Second
+	// secondHandProbers is the approximate number of daemons that probe a back end that only others have found
+	// unreachable. Without the limit, an ended back end would get a connection a second from each of hundreds of
+	// daemons until its row expires.
+	secondHandProbers = 16
+	// secondHandHold is how long the daemons that don't probe such a back end avoid it after the last report, which
+	// others repeat.
+	secondHandHold = 3 * time.Second
 )
 
-// suspicion is what makes a back end be probed.
-type suspicion struct {
-	// quietSince is since when nothing has come from the back end, though requests were
-	// under way all the time.
-	quietSince time.Time
-	// accused is set when another daemon did not reach the back end.
-	accused bool
-	// cutAt is when a connection with a request under way was lost; zero once a probe that
-	// began later has ended.
+// probeState determines when a back end is probed.
+type probeState struct {
+	// silentSince is the start of the current period in which requests were in flight and nothing arrived from the
+	// back end.
+	silentSince time.Time
+	// reportedDown is set if another daemon couldn't reach the back end.
+	reportedDown bool
+	// connectionLostAt is when a connection with a request in flight was lost; zero once a probe started later has
+	// completed.
 	//
-	// Such a back end is probed at once: one that has ended is found out before further requests
-	// are sent there in vain, and those that were under way there can be held to account.
-	cutAt time.Time
-	// unreached is set since the back end could not be reached, and own where this daemon has found that out.
-	unreached, own bool
-	// probing is set while a probe is under way, which began at probingFrom, and probedAt when
-	// the last one ended.
-	probing               bool
-	probingFrom, probedAt time.Time
+	// Such a back end is probed at once, so that no further requests are sent to one that has ended, and the
+	// requests that were in flight there can be examined as a possible cause.
+	connectionLostAt time.Time
+	// unreachable is set while the back end can't be reached, and observedHere if this daemon itself has found
+	// that.
+	unreachable, observedHere bool
+	// probing is set while a probe is in flight, which started at probeStartedAt. lastProbedAt is when the last one
+	// completed.
+	probing                      bool
+	probeStartedAt, lastProbedAt time.Time
 }
 
-// ProbeTarget is a back end that is to be probed.
+// ProbeTarget is a back end to probe.
 type ProbeTarget struct {
 	ID      identity.BackendID
 	Address string
 }
 
-// TakeDueProbes returns the back ends to be probed now: those that were not reached before
-// they are tried again, those that another daemon did not reach, and within a rate those
-// that have been silent for longest though requests are under way. Probed must follow for
-// each.
+// TakeDueProbes returns the back ends to probe now: unreachable ones before their ejection ends, those that another
+// daemon couldn't reach, and, within a rate limit, those that have been silent for longest with requests in flight.
+// RecordProbe must be called for each.
 func (p *Pool) TakeDueProbes(now time.Time) []ProbeTarget {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var found, silent []*entry
 	p.visits += uint64(len(p.watched))
 	for candidate := range p.watched {
-		switch candidate.suspect(now) {
-		case causeUnreached:
-			if candidate.isHearsay() && !p.probesHearsay(candidate) {
-				candidate.passOver(now)
+		switch candidate.probeCause(now) {
+		case causeUnreachable:
+			if candidate.isSecondHand() && !p.probesSecondHand(candidate) {
+				candidate.skipProbe(now)
 				continue
 			}
 			found = append(found, candidate)
@@ -93,9 +92,9 @@
 		}
 	}
 	slices.SortFunc(silent, func(left, right *entry) int {
-		return cmp.Or(left.suspicion.quietSince.Compare(right.suspicion.quietSince), cmp.Compare(left.key, right.key))
+		return cmp.Or(left.probeState.silentSince.Compare(right.probeState.silentSince), cmp.Compare(left.key, right.key))
 	})
-	found = found[:min(len(found), maximumSuspects)]
+	found = found[:min(len(found), maxProbesPerRound)]
 	for _, candidate := range silent {
 		if !p.silenceProbes.AllowN(now, 1) {
 			break
@@ -110,103 +109,106 @@
 	return suspects
 }
 
-// beginProbe notes that a probe is under way. A back end that could not be reached stays out until it has ended: one that
-// is late would otherwise leave a gap in which requests go there.
+// beginProbe records the start of a probe. An unreachable back end stays ejected until the probe completes: a late
+// probe would otherwise leave a gap in which requests are sent there.
 func (e *entry) beginProbe(now time.Time) {
-	e.suspicion.probing, e.suspicion.probingFrom = true, now
-	if until := now.Add(longestProbe); e.suspicion.unreached && until.After(e.ejectedUntil) {
+	e.probeState.probing, e.probeState.probeStartedAt = true, now
+	if until := now.Add(maxProbeDuration); e.probeState.unreachable && until.After(e.ejectedUntil) {
 		e.ejectedUntil = until
 	}
 }
 
-// isWatched tells whether the back end may have to be probed soon.
+// isWatched reports whether the back end may have to be probed soon.
 func (e *entry) isWatched() bool {
-	doubt := &e.suspicion
-	return e.inFlight > 0 || doubt.probing || doubt.unreached || doubt.accused || !doubt.cutAt.IsZero()
+	state := &e.probeState
+	return e.inFlight > 0 || state.probing || state.unreachable || state.reportedDown || !state.connectionLostAt.IsZero()
 }
 
-// isHearsay tells whether only others have found the back end out of reach.
-func (e *entry) isHearsay() bool { return !e.suspicion.own && e.suspicion.cutAt.IsZero() }
+// isSecondHand reports whether only other daemons have found the back end unreachable.
+func (e *entry) isSecondHand() bool {
+	return !e.probeState.observedHere && e.probeState.connectionLostAt.IsZero()
+}
 
-// probesHearsay tells whether this daemon is one of those that probe a back end that others did not reach: it is by
-// chance, the same each time. The caller holds the mutex.
-func (p *Pool) probesHearsay(found *entry) bool {
+// probesSecondHand reports whether this daemon is among those that probe a back end that others couldn't reach. The
+// choice is random but stable. The caller holds the mutex.
+func (p *Pool) probesSecondHand(found *entry) bool {
 	drawn := float64(rendezvous.Score(p.seed, found.name)) / math.MaxUint64
-	return drawn*float64(p.daemons) < hearsayProbers
+	return drawn*float64(p.daemons) < secondHandProbers
 }
 
-// passOver leaves the probe of a back end to others. It stays out for as long as they may tell of it again.
-func (e *entry) passOver(now time.Time) {
-	doubt := &e.suspicion
-	doubt.accused, doubt.probedAt = false, now
-	if !doubt.unreached {
+// skipProbe leaves the probe to other daemons. The back end stays ejected for as long as they may repeat the
+// report.
+func (e *entry) skipProbe(now time.Time) {
+	state := &e.probeState
+	state.reportedDown, state.lastProbedAt = false, now
+	if !state.unreachable {
 		return
 	}
-	if now.Sub(e.accusedAt) > hearsayTime {
-		doubt.unreached = false
+	if now.Sub(e.lastReportedAt) > secondHandHold {
+		state.unreachable = false
 		return
 	}
-	e.ejectedUntil = now.Add(shortestEjection)
+	e.ejectedUntil = now.Add(minEjection)
 }
 
-// cause is why a back end is to be probed.
+// cause is the reason for a probe.
 type cause int
 
 const (
 	causeNone cause = iota
-	// causeUnreached: this daemon or another one did not reach it.
-	causeUnreached
-	// causeSilent: nothing has come from it though requests are under way.
+	// causeUnreachable means that this or another daemon couldn't reach it, or lost a connection with a request in
+	// flight.
+	causeUnreachable
+	// causeSilent means that it has sent nothing although requests are in flight.
 	causeSilent
 )
 
-// suspect tells whether the back end is to be probed.
-func (e *entry) suspect(now time.Time) cause {
-	doubt := &e.suspicion
+// probeCause returns why the back end is to be probed now, or causeNone.
+func (e *entry) probeCause(now time.Time) cause {
+	state := &e.probeState
 	switch {
-	case doubt.probing, e.isOver():
+	case state.probing, e.hasEnded():
 		return causeNone
-	case doubt.unreached:
-		if e.ejectedUntil.Sub(now) <= returnLead {
-			return causeUnreached
+	case state.unreachable:
+		if e.ejectedUntil.Sub(now) <= reprobeLead {
+			return causeUnreachable
 		}
 		return causeNone
-	case !doubt.cutAt.IsZero():
-		return causeUnreached
-	case now.Sub(doubt.probedAt) < probeInterval:
+	case !state.connectionLostAt.IsZero():
+		return causeUnreachable
+	case now.Sub(state.lastProbedAt) < probeInterval:
 		return causeNone
-	case doubt.accused:
-		return causeUnreached
-	case e.inFlight > 0 && now.Sub(doubt.quietSince) >= suspiciousSilence:
+	case state.reportedDown:
+		return causeUnreachable
+	case e.inFlight > 0 && now.Sub(state.silentSince) >= silenceThreshold:
 		return causeSilent
 	default:
 		return causeNone
 	}
 }
 
-// ProbeOutcome is what a probe changed.
+// ProbeOutcome is the effect of a probe.
 type ProbeOutcome int
 
-// The outcomes of probes.
 const (
 	ProbeNoChange ProbeOutcome = iota
-	// ProbeEjected: the back end is out until a probe reaches it.
+	// ProbeEjected means that the back end is ejected until a probe reaches it.
 	ProbeEjected
-	// ProbeReinstated: the back end was out since it could not be reached.
+	// ProbeReinstated means that the back end had been ejected as unreachable and is in use again.
 	ProbeReinstated
 )
 
-// RecordProbe notes whether a probe reached a back end. One that was not reached is out until
-// a probe reaches it, and its requests are told.
+// RecordProbe records whether a probe reached a back end. An unreachable one is ejected until a probe reaches it,
+// and its requests are notified.
 func (p *Pool) RecordProbe(now time.Time, id identity.BackendID, reached bool) ProbeOutcome {
-	defer p.checked(id, reached)
+	defer p.onReachability(id, reached)
 	if reached {
-		defer p.freed()
+		defer p.onCapacityFreed()
 		return p.probeReached(now, id)
 	}
 	outcome, lost := p.probeFailed(now, id)
-	for _, tell := range lost {
-		tell()
+	for _, notify := range lost {
+		notify()
 	}
 	return outcome
 }
@@ -218,17 +220,17 @@
 	if found == nil {
 		return ProbeNoChange
 	}
-	found.suspicion.probed(now)
-	if !found.suspicion.unreached {
+	found.probeState.recordProbe(now)
+	if !found.probeState.unreachable {
 		return ProbeNoChange
 	}
-	found.suspicion.unreached, found.suspicion.own = false, false
+	found.probeState.unreachable, found.probeState.observedHere = false, false
 	found.ejectedUntil = now
 	found.ejection = 0
 	return ProbeReinstated
 }
 
-// probeFailed returns what is to be told to the requests under way.
+// probeFailed returns the callbacks of the requests in flight.
 func (p *Pool) probeFailed(now time.Time, id identity.BackendID) (ProbeOutcome, []func()) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -237,48 +239,49 @@
 		return ProbeNoChange, nil
 	}
 	wasOut := found.ejected(now)
-	found.suspicion.probed(now)
-	found.suspicion.unreached, found.suspicion.own = true, true
+	found.probeState.recordProbe(now)
+	found.probeState.unreachable, found.probeState.observedHere = true, true
 	p.watched[found] = true
-	found.ejectedUntil = now.Add(unreachedEjection)
+	found.ejectedUntil = now.Add(unreachableEjection)
 	if wasOut {
 		return ProbeNoChange, found.lost()
 	}
-	p.noteDoubt(found, ResultUnreachable)
+	p.queueFailureReport(found, ResultUnreachable)
 	return ProbeEjected, found.lost()
 }
 
-func (s *suspicion) probed(now time.Time) {
+func (s *probeState) recordProbe(now time.Time) {
 	s.probing = false
-	s.accused = false
-	if s.cutAt.Before(s.probingFrom) {
-		s.cutAt = time.Time{}
+	s.reportedDown = false
+	if s.connectionLostAt.Before(s.probeStartedAt) {
+		s.connectionLostAt = time.Time{}
 	}
-	s.probedAt = now
-	s.quietSince = now
+	s.lastProbedAt = now
+	s.silentSince = now
 }
 
-// lost returns what is to be told to the requests under way.
+// lost returns the callbacks of the requests in flight.
 func (e *entry) lost() []func() {
-	var tell []func()
+	var notify []func()
 	for ticket := range e.tickets {
 		if ticket.onLost != nil {
-			tell = append(tell, ticket.onLost)
+			notify = append(notify, ticket.onLost)
 		}
 	}
-	return tell
+	return notify
 }
 
-// OnReachability sets what is told whenever it shows whether a back end can be reached. It must be
-// set before the pool is used, and must not block.
-func (p *Pool) OnReachability(checked func(id identity.BackendID, reached bool)) { p.checked = checked }
+// OnReachability sets the callback for each result on whether a back end is reachable. It must be set before the
+// pool is used, and must not block.
+func (p *Pool) OnReachability(callback func(id identity.BackendID, reached bool)) {
+	p.onReachability = callback
+}
 
-// OnProbeRequested sets what is told when a back end is to be probed at once. It must be set before
-// the pool is used, and must not block.
-func (p *Pool) OnProbeRequested(suspected func()) { p.suspected = suspected }
+// OnProbeRequested sets the callback for when a back end is to be probed at once. It must be set before the pool is
+// used, and must not block.
+func (p *Pool) OnProbeRequested(callback func()) { p.onProbeRequested = callback }
 
-// OnLost sets what is called when the back end can no longer be reached. It must not
-// block.
+// OnLost sets the callback for when the back end becomes unreachable. It must not block.
 func (t *Ticket) OnLost(lost func()) {
 	t.pool.mutex.Lock()
 	defer t.pool.mutex.Unlock()
--- a/internal/core/backendpool/suspicion_test.go
+++ b/internal/core/backendpool/suspicion_test.go
@@ -9,8 +9,8 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// sent picks a place at a back end of three for one request.
-func sent(pool *Pool, now time.Time) *Ticket {
+// pickOne picks a back end for one request.
+func pickOne(pool *Pool, now time.Time) *Ticket {
 	return pool.Pick(now, Query{Service: "llm", Model: "m", Home: 1})
 }
 
@@ -22,18 +22,18 @@
 	return ids
 }
 
-// TestSilenceUnderRequestsIsProbed suspects a back end only while requests are under way
-// and nothing has come for a while, and not again at once after a good probe.
+// TestSilenceUnderRequestsIsProbed checks that a back end is probed only after a period of silence with requests in
+// flight, and not again right after a successful probe.
 func TestSilenceUnderRequestsIsProbed(t *testing.T) {
 	pool := New("a")
 	pool.Update(engines(3))
 	assert.Equal(t, len(suspects(pool, start.Add(time.Hour))), 0)
 	now := start.Add(2 * time.Hour)
-	ticket := sent(pool, now)
-	assert.Equal(t, len(suspects(pool, now.Add(suspiciousSilence-time.Millisecond))), 0)
-	ticket.RecordActivity(now.Add(suspiciousSilence / 2))
-	assert.Equal(t, len(suspects(pool, now.Add(suspiciousSilence))), 0)
-	now = now.Add(2 * suspiciousSilence)
+	ticket := pickOne(pool, now)
+	assert.Equal(t, len(suspects(pool, now.Add(silenceThreshold-time.Millisecond))), 0)
+	ticket.RecordActivity(now.Add(silenceThreshold / 2))
+	assert.Equal(t, len(suspects(pool, now.Add(silenceThreshold))), 0)
+	now = now.Add(2 * silenceThreshold)
 	assert.DeepEqual(t, suspects(pool, now), []identity.BackendID{ticket.Backend.ID})
 	assert.Equal(t, len(suspects(pool, now)), 0, "one probe at a time")
 	assert.Equal(t, pool.RecordProbe(now, ticket.Backend.ID, true), ProbeNoChange)
@@ -42,53 +42,52 @@
 	ticket.Release(now, ResultServed)
 }
 
-// TestUnreachedIsOutUntilAProbeReachesIt takes a back end out after a failed probe, tells
-// its requests and the other daemons, and uses it again only once a probe reaches it.
+// TestUnreachedIsOutUntilAProbeReachesIt checks that a back end is ejected after a failed probe, that its requests
+// and the other daemons are notified, and that it is used again only after a successful probe.
 func TestUnreachedIsOutUntilAProbeReachesIt(t *testing.T) {
 	pool := New("a")
 	pool.Update(engines(3))
-	ticket := sent(pool, start)
+	ticket := pickOne(pool, start)
 	id := ticket.Backend.ID
 	lost := 0
 	ticket.OnLost(func() { lost++ })
-	ended := sent(pool, start)
+	ended := pickOne(pool, start)
 	ended.OnLost(func() { lost += 100 })
 	ended.Release(start, ResultServed)
 
-	now := start.Add(suspiciousSilence)
+	now := start.Add(silenceThreshold)
 	assert.DeepEqual(t, suspects(pool, now), []identity.BackendID{id})
 	assert.Equal(t, pool.RecordProbe(now, id, false), ProbeEjected)
 	assert.Equal(t, lost, 1)
 	assert.Equal(t, len(pool.TakeFailureReports()), 1)
 	for range 5 {
 		assert.Assert(t, !pickedAll(pool, now)[string(id)])
-		now = now.Add(unreachedEjection - returnLead)
+		now = now.Add(unreachableEjection - reprobeLead)
 		assert.DeepEqual(t, suspects(pool, now), []identity.BackendID{id})
 		assert.Equal(t, pool.RecordProbe(now, id, false), ProbeNoChange, "it is out already")
 	}
-	now = now.Add(unreachedEjection - returnLead)
+	now = now.Add(unreachableEjection - reprobeLead)
 	assert.DeepEqual(t, suspects(pool, now), []identity.BackendID{id})
 	assert.Equal(t, pool.RecordProbe(now, id, true), ProbeReinstated)
 	assert.Assert(t, pickedAll(pool, now)[string(id)])
 }
 
-// TestAccusedIsProbed probes a back end that one other daemon did not reach, and does not
-// take it out for that alone.
+// TestAccusedIsProbed checks that a report by one other daemon triggers a probe but no ejection.
 func TestAccusedIsProbed(t *testing.T) {
-	accuser, pool := New("a"), New("a")
-	accuser.Update(engines(3))
+	reporter, pool := New("a"), New("a")
+	reporter.Update(engines(3))
 	pool.Update(engines(3))
-	ticket := sent(accuser, start)
+	ticket := pickOne(reporter, start)
 	ticket.Release(start, ResultUnreachable)
-	pool.ReceiveFailureReports(start, "one", accuser.TakeFailureReports())
+	pool.ReceiveFailureReports(start, "one", reporter.TakeFailureReports())
 	assert.DeepEqual(t, suspects(pool, start), []identity.BackendID{ticket.Backend.ID})
 	assert.Assert(t, pickedAll(pool, start)[string(ticket.Backend.ID)])
 	pool.RecordProbe(start, ticket.Backend.ID, true)
 	assert.Equal(t, len(suspects(pool, start.Add(time.Hour))), 0)
 }
 
-// TestNeedlessProbesAreRare bounds the probes of back ends that are silent and well, and
-// probes those first that have been silent for longest.
+// TestNeedlessProbesAreRare checks that probes of silent but healthy back ends are limited in rate, and that those
+// silent for longest are probed first.
 func TestNeedlessProbesAreRare(t *testing.T) {
 	const count = 40
 	pool := New("a")
@@ -101,7 +100,7 @@
 	assert.Equal(t, len(first), silenceProbeBurst)
 	for _, found := range pool.byID {
 		for _, id := range first {
-			assert.Assert(t, !found.suspicion.quietSince.Before(pool.byID[id].suspicion.quietSince) || found.suspicion.probing)
+			assert.Assert(t, !found.probeState.silentSince.Before(pool.byID[id].probeState.silentSince) || found.probeState.probing)
 		}
 	}
 	probes := 0
@@ -116,16 +115,17 @@
 	assert.Assert(t, probes > 0 && float64(probes) <= seconds*silenceProbeRate+1, "%d probes", probes)
 }
 
-// TestUnreachedStaysOutWhileItIsProbed lets the probe before a back end's return take longer than its ejection lasts on: no
-// request goes there meanwhile. A busy daemon's probe left a gap of some milliseconds now and then.
-func TestUnreachedStaysOutWhileItIsProbed(t *testing.T) {
+// TestUnreachableStaysEjectedDuringProbe checks that an unreachable back end stays ejected while the probe before its
+// return takes longer than the remaining ejection. A late probe at a busy daemon left a gap of some milliseconds in
+// which requests were sent there.
+func TestUnreachableStaysEjectedDuringProbe(t *testing.T) {
 	pool := New("a")
 	pool.Update(fleet(2))
 	id := fleet(2)[0].ID
 	pool.RequestProbe(start, id)
 	assert.Equal(t, len(pool.TakeDueProbes(start)), 1)
 	pool.RecordProbe(start, id, false)
-	again := start.Add(unreachedEjection - returnLead)
+	again := start.Add(unreachableEjection - reprobeLead)
 	assert.Equal(t, len(pool.TakeDueProbes(again)), 1)
 	for late := range 9 {
 		now := again.Add(time.Duration(late) * 100 * time.Millisecond)
--- a/internal/core/backendpool/ticket.go
+++ b/internal/core/backendpool/ticket.go
@@ -6,55 +6,53 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// Ticket is one request's place at a back end. Release ends it.
+// Ticket is one request's reservation at a back end. Release ends it.
 type Ticket struct {
 	Backend Backend
-	// Version is the version of the model's weights that the back end is believed
-	// to hold; zero without a model.
+	// Version is the version of the model's weights that the back end is believed to hold; zero without a model.
 	Version uint64
 	// Key is the hash of the back end's ID.
 	Key uint64
-	// Candidates is how many back ends would have done, and Waiting the cost of what
-	// was under way at this one, in tokens.
+	// Candidates is the number of suitable back ends, and Waiting the cost of the picked one's load, in tokens.
 	Candidates int
 	Waiting    float64
-	// Source is where what the back end lacks of the prompt can be taken from.
+	// Source tells where the missing prefix of the prompt can be transferred from.
 	Source Source
-	// Limit is what was known of the requests that the back end takes.
+	// Limit is the back end's request limit as known at the time of the pick.
 	Limit RequestLimit
-	// pickedAt is when the place was taken.
+	// pickedAt is the time of the pick.
 	pickedAt time.Time
-	// grantedAt is when the request was granted a part of the limit; zero is not.
+	// grantedAt is when the request was granted a share of the limit; zero if it wasn't.
 	grantedAt time.Time
 	entry     *entry
 	pool      *Pool
-	// work is what the request adds to the load until its first byte, in tokens.
+	// work is the request's prefill work until its first byte, in tokens.
 	work float64
 	// tokens is the length of the prompt.
 	tokens int
-	// mostTokens is what the prompts under way at the back end may come to; zero is no bound.
-	mostTokens float64
-	// reading is set until the first byte.
+	// maxTokens bounds the total prompt length of the requests in flight at the back end; zero means no bound.
+	maxTokens float64
+	// reading is set until the first byte of the response.
 	reading bool
-	// onLost is called when the back end can no longer be reached; it may be nil.
+	// onLost is called when the back end becomes unreachable; it may be nil.
 	onLost func()
 }
 
-// WorkTokens is what the back end has to do before the answer's first byte, in tokens to be
-// read: what is taken from elsewhere counts for less.
+// WorkTokens returns the work of the back end before the first byte of the response, in tokens to be computed;
+// transferred tokens count for less.
 func (t *Ticket) WorkTokens() int { return int(t.work) }
 
-// RecordActivity notes that something arrived from the ticket's back end.
+// RecordActivity records that data arrived from the back end.
 func (t *Ticket) RecordActivity(now time.Time) {
 	t.pool.mutex.Lock()
 	defer t.pool.mutex.Unlock()
-	t.entry.heardAt = now
-	t.entry.suspicion.quietSince = now
+	t.entry.lastActivityAt = now
+	t.entry.probeState.silentSince = now
 }
 
-// RecordFirstByte notes that the answer's first byte arrived: the prompt was read.
+// RecordFirstByte records the first byte of the response, which ends the prefill.
 func (t *Ticket) RecordFirstByte() {
-	defer t.pool.freed()
+	defer t.pool.onCapacityFreed()
 	t.pool.mutex.Lock()
 	defer t.pool.mutex.Unlock()
 	t.endReading()
@@ -66,33 +64,31 @@
 	}
 	t.reading = false
 	t.entry.reading = max(t.entry.reading-t.work, 0)
-	t.pool.touch(t.entry)
+	t.pool.markLoadChanged(t.entry)
 }
 
-// SilentSince tells whether nothing at all has arrived from the back end, on any
-// request, since a time.
+// SilentSince reports whether nothing has arrived from the back end on any request since a time.
 func (t *Ticket) SilentSince(since time.Time) bool {
 	t.pool.mutex.Lock()
 	defer t.pool.mutex.Unlock()
-	return t.entry.heardAt.Before(since)
+	return t.entry.lastActivityAt.Before(since)
 }
 
-// LearnVersion notes the version of the weights that an answer told.
+// LearnVersion records the version of the weights that a response reported.
 func (t *Ticket) LearnVersion(model identity.ModelName, version uint64) {
 	t.pool.mutex.Lock()
 	defer t.pool.mutex.Unlock()
 	t.pool.learn(t.entry, model, version)
 }
 
-// Release ends the request's place. It returns true when the back end is taken
-// out because of the result.
+// Release ends the reservation. It returns true if the back end is ejected because of the result.
 func (t *Ticket) Release(now time.Time, result Result) bool {
-	defer t.pool.freed()
+	defer t.pool.onCapacityFreed()
 	if result == ResultUnreachable || result == ResultReplaced {
-		defer t.pool.checked(t.Backend.ID, false)
+		defer t.pool.onReachability(t.Backend.ID, false)
 	}
 	if result == ResultConnectionLost {
-		defer t.pool.suspected()
+		defer t.pool.onProbeRequested()
 	}
 	t.pool.mutex.Lock()
 	defer t.pool.mutex.Unlock()
@@ -104,11 +100,11 @@
 	t.endTrial(now, false)
 	t.endRefusalTrial()
 	t.entry.tokens -= t.tokens
-	t.pool.touch(t.entry)
+	t.pool.markLoadChanged(t.entry)
 	t.endReading()
 	ejected := t.entry.record(now, result)
 	if ejected {
-		t.pool.noteDoubt(t.entry, result)
+		t.pool.queueFailureReport(t.entry, result)
 	}
 	return ejected
 }
