--- a/internal/core/backendpool/region_test.go
+++ b/internal/core/backendpool/region_test.go
@@ -14,7 +14,7 @@
 	"github.com/lotusward/lotusward/internal/core/rendezvous"
 )
 
-// regionMap is of a number of regions with two zones each; the first zone is "0-a".
+// regionMap returns a map of regions with two zones each; the first zone is "0-a".
 func regionMap(regions int) distance.Map {
 	made := map[identity.Zone]identity.Region{}
 	for region := range regions {
@@ -25,7 +25,7 @@
 	return distance.NewMap(made)
 }
 
-// spreadEngines are some back ends, dealt out over the zones of some regions.
+// spreadEngines returns back ends spread over the zones of some regions.
 func spreadEngines(count, regions int) []Backend {
 	list := engines(count)
 	for index := range list {
@@ -43,9 +43,9 @@
 	return pool, list
 }
 
-// TestRegionsBackEndsOnly draws queries for regions: whoever is picked or sampled is of the
-// region, and one is found if there is one.
-func TestRegionsBackEndsOnly(t *testing.T) {
+// TestPicksStayInRegion draws queries for regions. Picked and sampled back ends must be in the region, and one
+// must be found if there is one.
+func TestPicksStayInRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "regions")
 		count := rapid.IntRange(0, 14).Draw(t, "back ends")
@@ -55,7 +55,7 @@
 			region := identity.Region(fmt.Sprint("region-", rapid.IntRange(0, regions-1).Draw(t, "region")))
 			query := Query{Service: "llm", Model: "m", Home: 7, SharedTokens: 100, Region: region}
 			if rapid.Bool().Draw(t, "limits") {
-				query.Limits = Limits{Places: true}
+				query.Limits = Limits{EnforceSlots: true}
 			}
 			ticket, shortage := pool.PickOrExplain(start, query)
 			listed := 0
@@ -78,18 +78,18 @@
 	})
 }
 
-// TestRoomsAddUp compares the rooms of regions with a sum over all requests under way.
-func TestRoomsAddUp(t *testing.T) {
+// TestRegionCapacitiesAddUp compares the capacities of regions with a sum over all requests in flight.
+func TestRegionCapacitiesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "regions")
 		pool, list := spreadPool(rapid.IntRange(1, 14).Draw(t, "back ends"), regions)
 		distances := regionMap(regions)
 		others := map[uint64]Load{}
-		expected := map[identity.Region]Room{}
-		sum := func(backend Backend, add Room) {
+		expected := map[identity.Region]RegionCapacity{}
+		sum := func(backend Backend, add RegionCapacity) {
 			region := distances.Region(backend.Zone)
 			room := expected[region]
-			expected[region] = Room{
+			expected[region] = RegionCapacity{
 				Region: region, Backends: room.Backends + add.Backends, Slots: room.Slots + add.Slots, InFlight: room.InFlight + add.InFlight,
 				Reading: room.Reading + add.Reading, Tokens: room.Tokens + add.Tokens,
 			}
@@ -97,14 +97,14 @@
 		for _, backend := range list {
 			load := Load{Key: rendezvous.Key(string(backend.ID)), InFlight: float64(rapid.IntRange(0, 3).Draw(t, "others")), Reading: 50}
 			others[load.Key] = load
-			sum(backend, Room{Backends: 1, Slots: 4, InFlight: load.InFlight, Reading: 50})
+			sum(backend, RegionCapacity{Backends: 1, Slots: 4, InFlight: load.InFlight, Reading: 50})
 		}
 		pool.SetOthersLoad(others, true)
 		for range rapid.IntRange(0, 20).Draw(t, "requests") {
 			ticket := pool.Pick(start, Query{Service: "llm", Model: "m", OwnTokens: 10})
-			sum(ticket.Backend, Room{InFlight: 1, Reading: 10, Tokens: 10})
+			sum(ticket.Backend, RegionCapacity{InFlight: 1, Reading: 10, Tokens: 10})
 		}
-		rooms := pool.Rooms(start, "llm")
+		rooms := pool.RegionCapacities(start, "llm")
 		assert.Equal(t, len(rooms), len(expected))
 		for _, room := range rooms {
 			assert.DeepEqual(t, room, expected[room.Region])
@@ -112,8 +112,9 @@
 	})
 }
 
-// TestLackingIsWhatNobodyHolds compares what regions lack with an oracle over their back ends.
-func TestLackingIsWhatNobodyHolds(t *testing.T) {
+// TestUncachedIsWhatNoBackEndHolds compares the uncached tokens of regions with a reference computed from their back
+// ends.
+func TestUncachedIsWhatNoBackEndHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "regions")
 		pool, list := spreadPool(rapid.IntRange(1, 14).Draw(t, "back ends"), regions)
@@ -132,27 +133,27 @@
 				least[region] = lacks
 			}
 		}
-		found := pool.Lacking(start, Query{Service: "llm", Model: "m", SharedTokens: 1000, Cached: func(uint64) Cached { return cached }})
+		found := pool.UncachedByRegion(start, Query{Service: "llm", Model: "m", SharedTokens: 1000, Cached: func(uint64) Cached { return cached }})
 		assert.Equal(t, len(found), len(least))
-		for _, lacking := range found {
-			assert.Equal(t, lacking.Tokens, least[lacking.Region])
+		for _, uncached := range found {
+			assert.Equal(t, uncached.Tokens, least[uncached.Region])
 		}
 	})
 }
 
-// TestDoubtedBackEndsGiveARegionNoRoom leaves those out that get no requests.
-func TestDoubtedBackEndsGiveARegionNoRoom(t *testing.T) {
+// TestLeavingBackEndsDontCountTowardRegion checks that leaving and draining back ends don't count toward a region.
+func TestLeavingBackEndsDontCountTowardRegion(t *testing.T) {
 	pool, list := spreadPool(4, 2)
 	pool.SetLeaving(Leaving{Now: []uint64{rendezvous.Key(string(list[0].ID))}})
 	list[2].Draining = true
 	pool.Update(list)
-	assert.Equal(t, len(pool.Rooms(start, "llm")), 1)
-	lacking := pool.Lacking(start, Query{Service: "llm", Model: "m"})
-	assert.DeepEqual(t, lacking, []Lacking{{Region: "region-1"}})
+	assert.Equal(t, len(pool.RegionCapacities(start, "llm")), 1)
+	uncached := pool.UncachedByRegion(start, Query{Service: "llm", Model: "m"})
+	assert.DeepEqual(t, uncached, []RegionUncached{{Region: "region-1"}})
 }
 
-// TestSourceIsNear takes a cache from the same zone first, then from the region, and from
-// another region only where nothing nearer holds any of it.
+// TestSourceIsNear checks that a cache is transferred from the same zone if possible, else from the region, and
+// from another region only if no nearer back end has any of it.
 func TestSourceIsNear(t *testing.T) {
 	pool, list := spreadPool(8, 2)
 	key := func(number int) uint64 { return rendezvous.Key(string(list[number].ID)) }
@@ -170,7 +171,7 @@
 			cached[0].Read = append(cached[0].Read, key(holder))
 		}
 		ticket := pool.Pick(start, Query{
-			Service: "llm", Model: "m", SharedTokens: 900, Region: "region-0", Among: []uint64{key(0)},
+			Service: "llm", Model: "m", SharedTokens: 900, Region: "region-0", CandidateKeys: []uint64{key(0)},
 			Cached: func(uint64) Cached { return cached },
 		})
 		holder := ticket.Source.Holder
@@ -179,9 +180,9 @@
 	}
 }
 
-// TestFarSourceMustPay takes a deeper part from another region though the own one holds the first
-// part, if that is most of what is moved.
-func TestFarSourceMustPay(t *testing.T) {
+// TestFarSourceMustAddMost checks that a longer prefix is transferred from another region although the own one has a
+// shorter one, if the difference is most of the transfer.
+func TestFarSourceMustAddMost(t *testing.T) {
 	pool, list := spreadPool(8, 2)
 	key := func(number int) uint64 { return rendezvous.Key(string(list[number].ID)) }
 	for _, example := range []struct {
@@ -196,7 +197,7 @@
 			cached[1].Read = append(cached[1].Read, key(0))
 		}
 		ticket := pool.Pick(start, Query{
-			Service: "llm", Model: "m", SharedTokens: 900, Region: "region-0", Among: []uint64{key(0)},
+			Service: "llm", Model: "m", SharedTokens: 900, Region: "region-0", CandidateKeys: []uint64{key(0)},
 			Cached: func(uint64) Cached { return cached },
 		})
 		assert.Assert(t, ticket.Source.Holder != nil)
@@ -204,13 +205,13 @@
 	}
 }
 
-// TestHolderElsewhereDoesNotDrawTheChoice counts what another region holds as to be read, unless
-// moves from there are quick.
-func TestHolderElsewhereDoesNotDrawTheChoice(t *testing.T) {
+// TestHolderInOtherRegionDoesNotAttract checks that prefixes cached in another region count as uncached, unless
+// transfers from there are fast.
+func TestHolderInOtherRegionDoesNotAttract(t *testing.T) {
 	for _, far := range []bool{false, true} {
 		pool, list := spreadPool(2, 2)
 		cached := Cached{{Tokens: 900, Read: []uint64{rendezvous.Key(string(list[1].ID))}}}
-		query := Query{Service: "llm", Model: "m", SharedTokens: 900, Region: "region-0", FarMoves: far, Cached: func(uint64) Cached { return cached }}
+		query := Query{Service: "llm", Model: "m", SharedTokens: 900, Region: "region-0", FastCrossRegionMoves: far, Cached: func(uint64) Cached { return cached }}
 		ticket := pool.Pick(start, query)
 		expected := unknownElsewhereCost * 900.0
 		if far {
@@ -221,22 +222,23 @@
 	}
 }
 
-// TestFreeIsOfTheScarcest limits by places, memory and reading.
-func TestFreeIsOfTheScarcest(t *testing.T) {
-	room := Room{Backends: 2, Slots: 8, InFlight: 3, Reading: 1000, Tokens: 2000}
-	assert.Equal(t, room.Free(Limits{Places: true}, 500), 5.0)
-	assert.Equal(t, room.Free(Limits{Places: true, Tokens: 2000}, 500), 4.0)
-	assert.Equal(t, room.Free(Limits{Places: true, Reading: 1000}, 500), 2.0)
-	assert.Equal(t, room.Free(Limits{Places: true, Reading: 501}, 500), 2.0, "each takes one more")
-	assert.Equal(t, room.Free(Limits{Places: true, Reading: 500}, 500), 0.0)
+// TestFreeIsLimitedByScarcestResource checks that free capacity is limited by slots, memory and prefill work.
+func TestFreeIsLimitedByScarcestResource(t *testing.T) {
+	room := RegionCapacity{Backends: 2, Slots: 8, InFlight: 3, Reading: 1000, Tokens: 2000}
+	assert.Equal(t, room.Free(Limits{EnforceSlots: true}, 500), 5.0)
+	assert.Equal(t, room.Free(Limits{EnforceSlots: true, Tokens: 2000}, 500), 4.0)
+	assert.Equal(t, room.Free(Limits{EnforceSlots: true, Reading: 1000}, 500), 2.0)
+	assert.Equal(t, room.Free(Limits{EnforceSlots: true, Reading: 501}, 500), 2.0, "each takes one more")
+	assert.Equal(t, room.Free(Limits{EnforceSlots: true, Reading: 500}, 500), 0.0)
 	assert.Equal(t, room.Free(Limits{Reading: 400}, 500), 0.0)
 	assert.Equal(t, room.Free(Limits{}, 0), 5.0)
 }
 
-// TestFarBackEndIsGivenTheWay takes a back end in another region for too late a moment sooner.
-func TestFarBackEndIsGivenTheWay(t *testing.T) {
+// TestFarRegionDelayCountsAgainstDeadline checks that the latency to another region counts against a request's
+// start deadline.
+func TestFarRegionDelayCountsAgainstDeadline(t *testing.T) {
 	pool, _ := spreadPool(2, 2)
-	bound := start.Add(leastBeginTime + farWayTime)
+	bound := start.Add(minStartDelay + farRegionDelay)
 	query := Query{Service: "llm", Model: "m", BeginBy: func(uint64) time.Time { return bound }}
 	query.Region = "region-0"
 	assert.Assert(t, pool.Pick(start, query) != nil)
@@ -244,9 +246,8 @@
 	assert.Assert(t, pool.Pick(start, query) == nil)
 }
 
-// BenchmarkRegions measures what a choice adds where there are three regions: what each lacks of
-// a prompt and the rooms as this daemon knows them, before 240 back ends of which 30 hold it.
-// It takes 16 us.
+// BenchmarkRegions measures the added cost of a choice with three regions: the uncached tokens and the capacity of
+// each, for 240 back ends of which 30 have the prompt cached. It takes 16 us.
 func BenchmarkRegions(b *testing.B) {
 	pool, list := spreadPool(240, 3)
 	level := Level{Tokens: 3780}
@@ -255,13 +256,13 @@
 	}
 	query := Query{Service: "llm", Model: "m", SharedTokens: 3780, Cached: func(uint64) Cached { return Cached{level} }}
 	for b.Loop() {
-		pool.Lacking(start, query)
-		pool.Rooms(start, "llm")
+		pool.UncachedByRegion(start, query)
+		pool.RegionCapacities(start, "llm")
 	}
 }
 
-// TestBackEndOfAnUnknownZoneCountsAsNear lists a back end in a zone that the settings don't name yet: it
-// is taken for one of the daemon's own region in all that goes by region.
+// TestBackEndOfAnUnknownZoneCountsAsNear checks that a back end in a zone that the settings don't list yet counts
+// as in the daemon's own region everywhere.
 func TestBackEndOfAnUnknownZoneCountsAsNear(t *testing.T) {
 	pool := New("a")
 	pool.SetDistances(distance.NewMap(map[identity.Zone]identity.Region{"a": "r1", "b": "r2"}))
@@ -270,9 +271,9 @@
 		{ID: "new", Service: "s", Zone: "c", Address: "3", Slots: 1},
 	})
 	now := time.Now()
-	assert.Equal(t, len(pool.Lacking(now, Query{Service: "s"})), 2)
+	assert.Equal(t, len(pool.UncachedByRegion(now, Query{Service: "s"})), 2)
 	assert.Equal(t, len(pool.SampleRegion("r1", 10)), 2)
-	for _, room := range pool.Rooms(now, "s") {
+	for _, room := range pool.RegionCapacities(now, "s") {
 		assert.Equal(t, room.Slots, map[identity.Region]float64{"r1": 2, "r2": 1}[room.Region])
 	}
 	assert.Equal(t, pool.RegionOf("c"), identity.Region("r1"))
--- a/internal/core/backendpool/software_test.go
+++ b/internal/core/backendpool/software_test.go
@@ -13,7 +13,7 @@
 	"github.com/lotusward/lotusward/internal/core/rendezvous"
 )
 
-// versionsOracle keeps which back ends are listed and what is under way, in plain lists.
+// versionsOracle is a reference model with plain lists of back ends and requests in flight.
 type versionsOracle struct {
 	listed   []Backend
 	underWay []*Ticket
@@ -39,9 +39,9 @@
 	return count
 }
 
-// TestVersionsMatchASimpleOracle draws lists that change while requests are under way: what a
-// query asks for is kept, and the counts by version are those of plain lists. A request counts
-// until it ends, whatever becomes of its back end's entry.
+// TestVersionsMatchASimpleOracle changes the list while requests are in flight. Picks must satisfy the query, and
+// the counts by version must match the reference model. A request counts until it ends, even if its back end is no
+// longer listed.
 func TestVersionsMatchASimpleOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool, oracle := New("a"), &versionsOracle{}
@@ -54,11 +54,11 @@
 			case 1, 2:
 				query := Query{Service: "llm", Software: versions.Draw(t, "asked for")}
 				if rapid.Bool().Draw(t, "only") {
-					query.Only = []uint64{keyOf("engine-0"), keyOf("engine-3")}
+					query.AllowedKeys = []uint64{keyOf("engine-0"), keyOf("engine-3")}
 				}
 				if ticket := pool.Pick(start, query); ticket != nil {
 					assert.Assert(t, query.Software == "" || ticket.Backend.Software == query.Software)
-					assert.Assert(t, query.Only == nil || slices.Contains(query.Only, ticket.Key))
+					assert.Assert(t, query.AllowedKeys == nil || slices.Contains(query.AllowedKeys, ticket.Key))
 					oracle.underWay = append(oracle.underWay, ticket)
 				} else {
 					assert.Equal(t, oracle.possible(query), 0)
@@ -72,8 +72,8 @@
 			}
 			assert.DeepEqual(t, pool.SoftwareVersions("llm"), oracle.counts())
 			for _, version := range []identity.SoftwareVersion{"", "v1", "v2"} {
-				assert.Equal(t, pool.InFlightAtOthers("llm", version), oracle.own(version))
-				assert.Equal(t, pool.InFlightAtOthers("other", version), 0)
+				assert.Equal(t, pool.InFlightOnOtherVersions("llm", version), oracle.own(version))
+				assert.Equal(t, pool.InFlightOnOtherVersions("other", version), 0)
 				assert.Equal(t, len(pool.KeysOf("llm", version)), oracle.counts()[version])
 			}
 		}
@@ -84,12 +84,12 @@
 	})
 }
 
-// possible counts the back ends that will do for a query.
+// possible counts the back ends that are suitable for a query.
 func (o *versionsOracle) possible(query Query) int {
 	count := 0
 	for _, backend := range o.listed {
 		runs := query.Software == "" || backend.Software == query.Software
-		named := query.Only == nil || slices.Contains(query.Only, keyOf(backend.ID))
+		named := query.AllowedKeys == nil || slices.Contains(query.AllowedKeys, keyOf(backend.ID))
 		if !backend.Draining && runs && named {
 			count++
 		}
@@ -97,7 +97,7 @@
 	return count
 }
 
-// drawVersions draws a list. A back end keeps its version.
+// drawVersions draws a list. The version of a back end never changes.
 func drawVersions(t *rapid.T) []Backend {
 	var list []Backend
 	for index := range 5 {
@@ -114,7 +114,7 @@
 
 func keyOf(id identity.BackendID) uint64 { return rendezvous.Key(string(id)) }
 
-// versioned is a list whose back ends run v1, but for those from an index on, which run v2.
+// versioned returns a list in which the back ends from an index on run v2 and the others v1.
 func versioned(count, from int) []Backend {
 	list := engines(count)
 	for index := range list {
@@ -126,7 +126,7 @@
 	return list
 }
 
-// TestReplacedBackEndsCountInNoVersion gives the address of a back end to another one.
+// TestReplacedBackEndsCountInNoVersion checks that a back end whose address belongs to another one isn't counted.
 func TestReplacedBackEndsCountInNoVersion(t *testing.T) {
 	pool := New("a")
 	pool.Update(versioned(2, 1))
@@ -137,8 +137,7 @@
 	assert.Equal(t, len(pool.KeysOf("llm", "v1")), 0)
 }
 
-// TestShortageNamesOtherVersions tells back ends of another version apart from others that won't
-// do.
+// TestShortageNamesOtherVersions checks that a shortage counts back ends of another version separately.
 func TestShortageNamesOtherVersions(t *testing.T) {
 	pool := New("a")
 	list := versioned(5, 2)
@@ -147,35 +146,35 @@
 	query := Query{Service: "llm", Software: "v2", Exclude: []identity.BackendID{"engine-3", "engine-4"}}
 	_, shortage := pool.PickOrExplain(start, query)
 	assert.Equal(t, shortage, Shortage{Listed: 5, Draining: 1, Failed: 2, OtherVersion: 2})
-	query.Exclude, query.Only = nil, []uint64{}
+	query.Exclude, query.AllowedKeys = nil, []uint64{}
 	_, shortage = pool.PickOrExplain(start, query)
 	assert.Equal(t, shortage, Shortage{Listed: 5, Draining: 1, OtherVersion: 4})
 }
 
-// TestSamplesKeepToTheVersion samples back ends, the prompt's holder and home included, of the
-// version that is asked for alone.
+// TestSamplesKeepToTheVersion checks that samples contain only back ends of the required version, even if the
+// prompt's holder or home runs another one.
 func TestSamplesKeepToTheVersion(t *testing.T) {
 	pool := New("a")
 	pool.SetDaemons(100)
 	pool.Update(versioned(12, 6))
-	query := Query{Service: "llm", Model: "m", Home: 7, SharedTokens: 1000, Software: "v2", Only: []uint64{keyOf("engine-8"), keyOf("engine-9"), keyOf("engine-1")}}
+	query := Query{Service: "llm", Model: "m", Home: 7, SharedTokens: 1000, Software: "v2", AllowedKeys: []uint64{keyOf("engine-8"), keyOf("engine-9"), keyOf("engine-1")}}
 	query.Cached = func(uint64) Cached { return Cached{{Tokens: 1000, Read: []uint64{keyOf("engine-0")}}} }
 	for range 50 {
 		sampled := pool.Sample(start, query, nil)
 		assert.Equal(t, len(sampled), 2)
 		assert.Assert(t, !slices.Contains(sampled, keyOf("engine-0")) && !slices.Contains(sampled, keyOf("engine-1")))
-		query.Among = sampled
+		query.CandidateKeys = sampled
 		ticket := pool.Pick(start, query)
 		assert.Equal(t, ticket.Backend.Software, identity.SoftwareVersion("v2"))
-		// Where the prompt is taken from may run any version: the weights are the same.
+		// The cache may be transferred from a back end with any software version: the weights are the same.
 		assert.Equal(t, ticket.Source.Holder.ID, identity.BackendID("engine-0"))
 		ticket.Release(start, ResultServed)
-		query.Among = nil
+		query.CandidateKeys = nil
 	}
 }
 
-// TestNewestWeightsAreOfUsableBackEnds has back ends of another version hold newer weights: that
-// makes the parts at usable ones no dearer.
+// TestNewestWeightsAreOfUsableBackEnds checks that newer weights at back ends of another software version don't
+// raise the cost of prefixes at suitable ones.
 func TestNewestWeightsAreOfUsableBackEnds(t *testing.T) {
 	pool := New("a")
 	list := versioned(4, 2)
@@ -183,19 +182,18 @@
 	pool.Update(list)
 	assert.Equal(t, pool.newestVersion(start, Query{Service: "llm", Model: "m"}), uint64(2))
 	assert.Equal(t, pool.newestVersion(start, Query{Service: "llm", Model: "m", Software: "v1"}), uint64(1))
-	assert.Equal(t, pool.newestVersion(start, Query{Service: "llm", Model: "m", Only: []uint64{keyOf("engine-3")}}), uint64(1))
+	assert.Equal(t, pool.newestVersion(start, Query{Service: "llm", Model: "m", AllowedKeys: []uint64{keyOf("engine-3")}}), uint64(1))
 }
 
-// TestTrialsTakeReachableBackEnds asks for a back end for a trial while the only one can't be
-// reached, while it is leaving, and while it is doubted since it failed requests. Other queries
-// take it all the time.
+// TestTrialsTakeReachableBackEnds checks that a trial request gets no back end while the only one is unreachable or
+// leaving, but does get one that is ejected for failed requests. Other requests get it in each case.
 func TestTrialsTakeReachableBackEnds(t *testing.T) {
 	pool := New("a")
 	pool.Update(versioned(1, 0))
 	query := Query{Service: "llm"}
 	trial := query
 	trial.Trial = true
-	pool.Pick(start, query).Release(start, ResultUnreached)
+	pool.Pick(start, query).Release(start, ResultUnreachable)
 	now := start.Add(100 * time.Millisecond)
 	assert.Assert(t, pool.Pick(now, trial) == nil)
 	assert.Assert(t, pool.Pick(now, query) != nil)
@@ -210,22 +208,21 @@
 	for range 2 {
 		pool.Pick(start, query).Release(start, ResultFailed)
 	}
-	assert.Assert(t, pool.States(start)[0].Doubted)
+	assert.Assert(t, pool.States(start)[0].Ejected)
 	assert.Assert(t, pool.Pick(start, trial) != nil)
 }
 
-// TestTrialsAreSpreadEvenly sends requests of a trial one after the other, pages and prompts of
-// which one back end holds all: each of the back ends gets about as many, and none while it is
-// full.
+// TestTrialsAreSpreadEvenly checks that sequential trial requests, with and without a model, are spread evenly over
+// the back ends although one has every prompt cached, and that a full back end gets none.
 func TestTrialsAreSpreadEvenly(t *testing.T) {
 	for _, model := range []identity.ModelName{"", "m"} {
 		pool := New("a")
 		list := versioned(5, 1)
 		list[4].Slots = 1
 		pool.Update(list)
-		query := Query{Service: "llm", Software: "v2", Trial: true, Model: model, Home: 7, SharedTokens: 4000, OwnTokens: 100, Limits: Limits{Places: true}}
+		query := Query{Service: "llm", Software: "v2", Trial: true, Model: model, Home: 7, SharedTokens: 4000, OwnTokens: 100, Limits: Limits{EnforceSlots: true}}
 		query.Cached = func(uint64) Cached { return Cached{{Tokens: 4000, Read: []uint64{keyOf("engine-1")}}} }
-		full := pool.Pick(start, Query{Service: "llm", Only: []uint64{keyOf("engine-4")}})
+		full := pool.Pick(start, Query{Service: "llm", AllowedKeys: []uint64{keyOf("engine-4")}})
 		assert.Equal(t, full.Backend.ID, identity.BackendID("engine-4"))
 		counts := map[identity.BackendID]int{}
 		for range 600 {
