--- a/internal/relay/waiting_test.go
+++ b/internal/relay/waiting_test.go
@@ -15,13 +15,13 @@
 	"github.com/lotusward/lotusward/internal/core/routing"
 )
 
-// TestMostUrgentGoesFirst lets requests enter and leave lists in any order while time
-// passes: the first of a service is always the most urgent, of equals one that can still
-// be in time, and of those the oldest, and it is told when the one before it leaves.
+// TestMostUrgentGoesFirst lets requests enter and leave a wait list in any order while time
+// passes. The first must always have the highest priority, among equals be one that can still be
+// on time, and among those be the oldest. It must be woken when the one before it leaves.
 func TestMostUrgentGoesFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
-		lists := newWaitingLists(func() time.Time { return now })
+		lists := newWaitLists(func() time.Time { return now })
 		var entered []*waiter
 		start := now
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -32,60 +32,60 @@
 				entered = slices.Delete(entered, at, at+1)
 				for _, other := range entered {
 					select {
-					case <-other.turn:
+					case <-other.wakeup:
 					default:
 					}
 				}
 				lists.leave("s", left)
 				if len(entered) > 0 {
-					assert.Equal(t, len(expectedFirst(now, entered).turn), 1, "the first is told to look")
+					assert.Equal(t, len(expectedFirst(now, entered).wakeup), 1, "the first is told to look")
 				}
 			} else {
-				at := place{
+				at := queuePosition{
 					priority:  rapid.IntRange(0, 2).Draw(t, "priority"),
 					arrivedAt: start.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "arrived")) * time.Second),
 				}
 				if rapid.Bool().Draw(t, "aims") {
-					at.lateFrom = at.arrivedAt.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "aim")) * time.Second)
+					at.lateAt = at.arrivedAt.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "aim")) * time.Second)
 				}
 				entered = append(entered, lists.enter("s", at))
 			}
 			if len(entered) == 0 {
-				assert.Assert(t, lists.goesBefore("s", place{priority: 9}))
+				assert.Assert(t, lists.precedesAll("s", queuePosition{priority: 9}))
 				continue
 			}
 			first := expectedFirst(now, entered)
 			assert.Assert(t, lists.isFirst("s", first))
-			assert.Equal(t, lists.goesBefore("s", first.place), false)
-			moreUrgent := first.place
+			assert.Equal(t, lists.precedesAll("s", first.position), false)
+			moreUrgent := first.position
 			moreUrgent.priority--
-			assert.Equal(t, lists.goesBefore("s", moreUrgent), true)
-			assert.Assert(t, lists.goesBefore("other", place{priority: 9}))
+			assert.Equal(t, lists.precedesAll("s", moreUrgent), true)
+			assert.Assert(t, lists.precedesAll("other", queuePosition{priority: 9}))
 		}
 	})
 }
 
-// expectedFirst is the oracle: who goes first, by sorting.
+// expectedFirst is the oracle: it finds the first request by sorting.
 func expectedFirst(now time.Time, entered []*waiter) *waiter {
 	sorted := slices.Clone(entered)
 	late := func(one *waiter) int {
-		if !one.place.lateFrom.IsZero() && !one.place.lateFrom.After(now) {
+		if !one.position.lateAt.IsZero() && !one.position.lateAt.After(now) {
 			return 1
 		}
 		return 0
 	}
 	slices.SortStableFunc(sorted, func(left, right *waiter) int {
 		return cmp.Or(
-			cmp.Compare(left.place.priority, right.place.priority),
+			cmp.Compare(left.position.priority, right.position.priority),
 			cmp.Compare(late(left), late(right)),
-			left.place.arrivedAt.Compare(right.place.arrivedAt),
+			left.position.arrivedAt.Compare(right.position.arrivedAt),
 		)
 	})
 	return sorted[0]
 }
 
-// TestLinkIsUsedWithinItsShare lets moves over a store's link only while there is room,
-// and each kind of use by itself.
+// TestLinkIsUsedWithinItsShare checks that transfers over a store's link are permitted only within
+// its capacity, and that each kind of use has a share of its own.
 func TestLinkIsUsedWithinItsShare(t *testing.T) {
 	budgets, now := newLinkBudgets(), time.Now()
 	fetch := linkUse{address: "store", kind: useFetch, tokensPerSecond: 1000, burst: time.Second}
@@ -100,8 +100,8 @@
 	assert.Assert(t, budgets.allows(now, linkUse{address: "store", kind: useFetch}, 1<<30), "no bound is known")
 }
 
-// crowd makes all back ends of a world busy with the requests of other daemons.
-func (w *world) crowd() {
+// saturate loads all backends of the fixture with the requests of other daemons.
+func (w *fixture) saturate() {
 	loads := map[uint64]backendpool.Load{}
 	for _, backend := range w.pool.Backends() {
 		loads[rendezvous.Key(string(backend.ID))] = backendpool.Load{Reading: 1 << 20}
@@ -109,60 +109,60 @@
 	w.pool.SetOthersLoad(loads, true)
 }
 
-// crowding makes all back ends busy at the first sending.
-type crowding struct {
+// saturatingBackends saturates all backends at the first attempt.
+type saturatingBackends struct {
 	*scriptedBackends
-	world *world
+	fixture *fixture
 }
 
 // Send implements Backends.
-func (c crowding) Send(ctx context.Context, dispatch *Dispatch) (*Answer, error) {
-	c.world.crowd()
+func (c saturatingBackends) Send(ctx context.Context, dispatch *Dispatch) (*Answer, error) {
+	c.fixture.saturate()
 	return c.scriptedBackends.Send(ctx, dispatch)
 }
 
-// longPrompt is a prompt that waits for busy back ends.
+// longPrompt sets a prompt long enough to wait for busy backends.
 func longPrompt(request *Request) {
 	request.Prompt = &Prompt{Model: "m", Parts: []Part{{ID: "a", Tokens: 9000}, {ID: "b", Tokens: 1000}}}
 }
 
-// TestStreamGoesOnThoughAllAreBusy resumes a cut stream at once: its request was let in
-// before.
-func TestStreamGoesOnThoughAllAreBusy(t *testing.T) {
+// TestResumedStreamSkipsWaiting resumes a cut stream immediately although all backends are busy,
+// because its request was admitted before.
+func TestResumedStreamSkipsWaiting(t *testing.T) {
 	route := routing.Route{Kind: routing.KindStreaming, Resumable: true, MaxAttempts: 2, TargetLatency: 100 * time.Millisecond}
-	world := newWorld(route, 3, 5)
-	world.backends.streaming, world.backends.events = true, 6
-	world.backends.script = []behaviour{behaveCutStream}
-	world.relay.options.Backends = crowding{world.backends, world}
-	caller := world.ask(longPrompt)
+	fixture := newFixture(route, 3, 5)
+	fixture.backends.streaming, fixture.backends.events = true, 6
+	fixture.backends.script = []behaviour{behaveCutStream}
+	fixture.relay.options.Backends = saturatingBackends{fixture.backends, fixture}
+	caller := fixture.ask(longPrompt)
 	assert.Equal(t, caller.body.String(), eventsText(1, 6))
 	assert.Assert(t, !caller.aborted)
 }
 
-// TestWaitingEndsWithATimeToComeBack refuses a request that finds all back ends busy for
-// too long, as not run, and serves one as soon as a back end is free.
+// TestWaitingEndsWithATimeToComeBack refuses a request as not run if all backends stay busy for
+// too long, and serves one as soon as a backend becomes free.
 func TestWaitingEndsWithATimeToComeBack(t *testing.T) {
 	route := routing.Route{Kind: routing.KindStreaming, MaxAttempts: 1, TargetLatency: 100 * time.Millisecond}
-	world := newWorld(route, 3, 5)
-	world.backends.streaming, world.backends.events = true, 3
-	world.crowd()
+	fixture := newFixture(route, 3, 5)
+	fixture.backends.streaming, fixture.backends.events = true, 3
+	fixture.saturate()
 	started := time.Now()
-	caller := world.ask(longPrompt)
+	caller := fixture.ask(longPrompt)
 	assert.Equal(t, caller.refusal.Kind, RefusalNotRun)
 	assert.Equal(t, caller.refusal.Reason, "busy")
 	assert.Assert(t, caller.refusal.RetryAfter > 0)
 	assert.Assert(t, time.Since(started) < 2*route.TargetLatency)
-	time.AfterFunc(50*time.Millisecond, func() { world.pool.SetOthersLoad(nil, true) })
-	assert.Equal(t, world.ask(longPrompt).body.String(), eventsText(1, 3))
+	time.AfterFunc(50*time.Millisecond, func() { fixture.pool.SetOthersLoad(nil, true) })
+	assert.Equal(t, fixture.ask(longPrompt).body.String(), eventsText(1, 3))
 }
 
-// TestBackEndThatIsFreeInTimeIsNotMissed frees back ends and makes them busy again all the
-// time: a request is served or told that all are busy, and never that there is none.
+// TestBackEndThatIsFreeInTimeIsNotMissed alternately saturates and frees all backends. A request
+// must be served or refused as busy, never for lack of a backend.
 func TestBackEndThatIsFreeInTimeIsNotMissed(t *testing.T) {
 	route := routing.Route{Kind: routing.KindStreaming, MaxAttempts: 1, TargetLatency: 100 * time.Millisecond}
-	world := newWorld(route, 3, 5)
-	world.backends.streaming, world.backends.events = true, 3
-	world.control.confirmed = time.Now().Add(time.Hour) // however long the machine takes
+	fixture := newFixture(route, 3, 5)
+	fixture.backends.streaming, fixture.backends.events = true, 3
+	fixture.control.confirmed = time.Now().Add(time.Hour) // independent of the machine's speed
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
@@ -171,13 +171,13 @@
 			case <-stop:
 				return
 			default:
-				world.crowd()
-				world.pool.SetOthersLoad(nil, true)
+				fixture.saturate()
+				fixture.pool.SetOthersLoad(nil, true)
 			}
 		}
 	}()
 	for range 2000 {
-		caller := world.ask(longPrompt)
+		caller := fixture.ask(longPrompt)
 		if caller.refusal != nil {
 			assert.Equal(t, caller.refusal.Reason, "busy")
 		}
@@ -186,8 +186,8 @@
 	<-stopped
 }
 
-// fill takes all places of a world's back ends with the requests of other daemons.
-func (w *world) fill() {
+// fillAll occupies all slots of the fixture's backends with the requests of other daemons.
+func (w *fixture) fillAll() {
 	list, loads := w.pool.Backends(), map[uint64]backendpool.Load{}
 	for index := range list {
 		list[index].Slots = 4
@@ -197,22 +197,22 @@
 	w.pool.SetOthersLoad(loads, false)
 }
 
-// TestHopelessWaitIsRefusedAtOnce lets requests wait for a place while they can be in time,
-// and refuses those at once that cannot, with a time to come back.
+// TestHopelessWaitIsRefusedAtOnce lets requests wait while they can be on time, and refuses those
+// that can't immediately, with a retry delay.
 func TestHopelessWaitIsRefusedAtOnce(t *testing.T) {
 	route := routing.Route{Kind: routing.KindStreaming, MaxAttempts: 1, TargetLatency: 200 * time.Millisecond}
-	world := newWorld(route, 3, 5)
-	world.backends.streaming, world.backends.events = true, 3
-	world.fill()
+	fixture := newFixture(route, 3, 5)
+	fixture.backends.streaming, fixture.backends.events = true, 3
+	fixture.fillAll()
 	waited := make(chan *recordingCaller)
-	go func() { waited <- world.ask(longPrompt) }()
-	time.Sleep(120 * time.Millisecond) // no place became free for that long
+	go func() { waited <- fixture.ask(longPrompt) }()
+	time.Sleep(120 * time.Millisecond) // no slot becomes free for that long
 	began := time.Now()
-	refused := world.ask(longPrompt)
+	refused := fixture.ask(longPrompt)
 	assert.Equal(t, refused.refusal.Kind, RefusalNotRun)
 	assert.Equal(t, refused.refusal.Reason, reasonBusy)
 	assert.Assert(t, refused.refusal.RetryAfter > 0)
 	assert.Assert(t, time.Since(began) < 50*time.Millisecond, "it took %v", time.Since(began))
-	world.pool.SetOthersLoad(nil, false)
+	fixture.pool.SetOthersLoad(nil, false)
 	assert.Equal(t, (<-waited).body.String(), eventsText(1, 3))
 }
--- a/internal/relay/watch.go
+++ b/internal/relay/watch.go
@@ -9,58 +9,60 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// Patience with silent back ends.
+// Timeouts for silent backends.
 const (
-	// aliveFactor is how many times longer than the target latency a back end is
-	// waited for that can be reached.
-	aliveFactor = 2.5
-	// stallSlack is added to the longest pause of a stream that is in time.
+	// reachableFactor is the multiple of the target latency for which a silent but reachable
+	// backend is waited for.
+	reachableFactor = 2.5
+	// stallSlack is added to the longest permitted gap between the events of a stream.
 	stallSlack = 250 * time.Millisecond
-	// aliveStallFactor is as aliveFactor, for streams that have begun.
-	aliveStallFactor = 4
-	defaultGapTarget = 500 * time.Millisecond
-	// LastBegin is how long after the bound for new requests one may still begin.
+	// reachableStallFactor is the counterpart of reachableFactor for streams that have started.
+	reachableStallFactor = 4
+	defaultGapTarget     = 500 * time.Millisecond
+	// LastBegin is how long after the bound for new requests a request queued at a backend may
+	// still start.
 	LastBegin = 400 * time.Millisecond
-	// beginCheckInterval is how often it is looked whether a newer version was named.
-	beginCheckInterval = 300 * time.Millisecond
-	// reachTimeout is how long a back end may take to accept a connection.
+	// startCheckInterval is the interval of the check for newly named versions.
+	startCheckInterval = 300 * time.Millisecond
+	// reachTimeout is how long a backend may take to accept a connection.
 	reachTimeout = 300 * time.Millisecond
 )
 
-// watchdog cuts a sending whose back end is silent for too long, if the request
-// may go elsewhere. The zero value watches nothing.
+// watchdog cuts an attempt whose backend is silent for too long, if the request may be retried.
+// The zero value watches nothing.
 type watchdog struct {
-	mutex   sync.Mutex
-	run     *run
-	ticket  *backendpool.Ticket
-	cancel  context.CancelCauseFunc
-	timer   *time.Timer
-	patient time.Duration
-	alive   time.Duration
-	since   time.Time
-	// reachedAt is when the back end last accepted a connection.
+	mutex      sync.Mutex
+	run        *run
+	ticket     *backendpool.Ticket
+	cancel     context.CancelCauseFunc
+	timer      *time.Timer
+	probeAfter time.Duration
+	maxSilence time.Duration
+	lastHeard  time.Time
+	// reachedAt is when the backend last accepted a connection.
 	reachedAt time.Time
 	stopped   bool
-	// paused is set while nothing is read from the back end.
+	// paused is set while nothing is read from the backend.
 	paused bool
 }
 
-// watchFirst watches for the first byte of an answer.
-func (r *run) watchFirst(ticket *backendpool.Ticket, cancel context.CancelCauseFunc) *watchdog {
+// watchFirstByte watches for the first byte of an answer.
+func (r *run) watchFirstByte(ticket *backendpool.Ticket, cancel context.CancelCauseFunc) *watchdog {
 	target := r.admitted.match.Route.TargetLatency
-	if target == 0 || !r.couldRepeat() {
+	if target == 0 || !r.retryPossible() {
 		return &watchdog{}
 	}
 	if prompt := r.admitted.request.Prompt; prompt != nil {
 		total, _ := promptTokens(prompt.Parts)
 		target += time.Duration(total) * backendpool.SlowTokenTime
 	}
-	return r.watch(ticket, cancel, target, time.Duration(aliveFactor*float64(target)))
+	return r.newWatchdog(ticket, cancel, target, time.Duration(reachableFactor*float64(target)))
 }
 
-// beginWatch cuts a sending that has not begun when requests may no longer begin on
-// the version of the weights that it was sent to, which is zero where nobody has told it.
-type beginWatch struct {
+// startWatch cuts an attempt that has not started by the time from which requests may no longer
+// start on the version of the weights it was sent to. The version is zero if nobody has reported
+// it.
+type startWatch struct {
 	mutex   sync.Mutex
 	run     *run
 	model   identity.ModelName
@@ -70,21 +72,21 @@
 	stopped bool
 }
 
-// watchBegin starts the watch for a sending.
-func (r *run) watchBegin(ticket *backendpool.Ticket, cancel context.CancelCauseFunc) *beginWatch {
+// watchStart starts the watch for an attempt.
+func (r *run) watchStart(ticket *backendpool.Ticket, cancel context.CancelCauseFunc) *startWatch {
 	prompt := r.admitted.request.Prompt
 	if prompt == nil {
-		return &beginWatch{stopped: true}
+		return &startWatch{stopped: true}
 	}
-	watch := &beginWatch{run: r, model: prompt.Model, version: ticket.Version, cancel: cancel}
+	watch := &startWatch{run: r, model: prompt.Model, version: ticket.Version, cancel: cancel}
 	watch.mutex.Lock()
 	defer watch.mutex.Unlock()
-	watch.timer = time.AfterFunc(beginCheckInterval, watch.check)
+	watch.timer = time.AfterFunc(startCheckInterval, watch.check)
 	return watch
 }
 
-// check cuts the sending if it is time, and looks again later otherwise.
-func (w *beginWatch) check() {
+// check cuts the attempt if its time has passed, and otherwise schedules the next check.
+func (w *startWatch) check() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.stopped {
@@ -94,17 +96,17 @@
 	left := bound.Add(LastBegin).Sub(w.run.now())
 	switch {
 	case bound.IsZero():
-		w.timer.Reset(beginCheckInterval)
+		w.timer.Reset(startCheckInterval)
 	case left <= 0:
 		w.stopped = true
 		w.cancel(errOldWeights)
 	default:
-		w.timer.Reset(min(left, beginCheckInterval))
+		w.timer.Reset(min(left, startCheckInterval))
 	}
 }
 
-// stop ends the watch. The sending is not cut after it.
-func (w *beginWatch) stop() {
+// stop ends the watch. The attempt is not cut afterwards.
+func (w *startWatch) stop() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if !w.stopped {
@@ -113,14 +115,15 @@
 	}
 }
 
-// noteReplaced notes for the journal how a sending stood to the time by which requests had to begin
-// on its weights, when it began or, if it never did, at its end.
-func (r *run) noteReplaced(begun bool) {
+// recordReplaced records, for the observer, how an attempt relates to the time by which requests
+// had to start on its weights. It is called when the attempt starts or, if it never does, when it
+// ends.
+func (r *run) recordReplaced(begun bool) {
 	prompt := r.admitted.request.Prompt
-	if prompt == nil || r.beginNoted {
+	if prompt == nil || r.startRecorded {
 		return
 	}
-	r.beginNoted = begun
+	r.startRecorded = begun
 	bound := r.relay.beginBound(prompt.Model, r.attempt.Version)
 	if !bound.At.IsZero() {
 		r.attempt.Replaced = &ReplacedWeights{Bound: bound, Left: bound.At.Sub(r.now()), Begun: begun}
@@ -129,67 +132,66 @@
 
 // watchStall watches for the next event of a stream.
 func (r *run) watchStall(ticket *backendpool.Ticket, cancel context.CancelCauseFunc) *watchdog {
-	if !r.couldRepeat() {
+	if !r.retryPossible() {
 		return &watchdog{}
 	}
 	gap := r.admitted.match.Route.GapTarget
 	if gap == 0 {
 		gap = defaultGapTarget
 	}
-	return r.watch(ticket, cancel, gap+stallSlack, aliveStallFactor*(gap+stallSlack))
+	return r.newWatchdog(ticket, cancel, gap+stallSlack, reachableStallFactor*(gap+stallSlack))
 }
 
-// couldRepeat tells whether the request might be sent once more after the
-// present sending.
-func (r *run) couldRepeat() bool {
+// retryPossible reports whether the request could be retried after the current attempt.
+func (r *run) retryPossible() bool {
 	route := r.admitted.match.Route
-	return route.Repeatable() && r.ran+1 < route.MaxAttempts && r.sendings()+1 < maximumSendings
+	return route.Repeatable() && r.possiblyRan+1 < route.MaxAttempts && r.reachedAttempts()+1 < maxReachedAttempts
 }
 
-func (r *run) watch(ticket *backendpool.Ticket, cancel context.CancelCauseFunc, patient, alive time.Duration) *watchdog {
-	watch := &watchdog{run: r, ticket: ticket, cancel: cancel, patient: patient, alive: alive, since: r.now()}
+func (r *run) newWatchdog(ticket *backendpool.Ticket, cancel context.CancelCauseFunc, probeAfter, maxSilence time.Duration) *watchdog {
+	watch := &watchdog{run: r, ticket: ticket, cancel: cancel, probeAfter: probeAfter, maxSilence: maxSilence, lastHeard: r.now()}
 	watch.mutex.Lock()
 	defer watch.mutex.Unlock()
-	watch.timer = time.AfterFunc(patient, watch.check)
+	watch.timer = time.AfterFunc(probeAfter, watch.check)
 	ticket.OnLost(watch.cut)
 	return watch
 }
 
-// check cuts the sending if nothing came for too long, and otherwise looks again
-// later. A back end that has been silent on all requests is asked whether it can
-// be reached; if so, it gets more time.
+// check cuts the attempt if the backend has been silent for too long, and otherwise schedules the
+// next check. If the backend has been silent on all requests, it is probed first; if it can be
+// reached, it gets more time.
 func (w *watchdog) check() {
-	if w.unheard() && !w.reach() {
+	if w.probeDue() && !w.reach() {
 		w.cut()
 		return
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.paused && !w.stopped {
-		w.timer.Reset(w.patient)
+		w.timer.Reset(w.probeAfter)
 		return
 	}
-	silent := w.run.now().Sub(w.since)
-	if silent < w.alive && !w.stopped {
-		w.timer.Reset(max(min(w.alive-silent, w.patient), time.Millisecond))
+	silent := w.run.now().Sub(w.lastHeard)
+	if silent < w.maxSilence && !w.stopped {
+		w.timer.Reset(max(min(w.maxSilence-silent, w.probeAfter), time.Millisecond))
 		return
 	}
 	w.cutLocked()
 }
 
-// unheard tells whether nothing came from the back end for as long as the watch
-// is patient.
-func (w *watchdog) unheard() bool {
+// probeDue reports whether nothing has been received from the backend, on any request, for the
+// duration of probeAfter.
+func (w *watchdog) probeDue() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	since := w.since
+	since := w.lastHeard
 	if w.reachedAt.After(since) {
 		since = w.reachedAt
 	}
-	return !w.stopped && !w.paused && w.run.now().Sub(since) >= w.patient && w.ticket.SilentSince(since)
+	return !w.stopped && !w.paused && w.run.now().Sub(since) >= w.probeAfter && w.ticket.SilentSince(since)
 }
 
-// reach tells whether the back end accepts a connection.
+// reach reports whether the backend accepts a connection.
 func (w *watchdog) reach() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), reachTimeout)
 	defer cancel()
@@ -202,7 +204,7 @@
 	return true
 }
 
-// cut ends the sending.
+// cut cancels the attempt.
 func (w *watchdog) cut() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -214,11 +216,11 @@
 		return
 	}
 	w.stopped = true
-	w.cancel(errSlow)
+	w.cancel(errSilentBackend)
 }
 
-// pause stops the watch until the back end is heard of: while a slow caller is written to, it is not the back end that is
-// silent.
+// pause suspends the watch until the next reset. While the daemon writes to a slow caller, nothing
+// is read from the backend and its silence means nothing.
 func (w *watchdog) pause() {
 	if w.timer == nil {
 		return
@@ -228,18 +230,17 @@
 	w.paused = true
 }
 
-// heard starts the watch anew.
-func (w *watchdog) heard() {
+// reset restarts the watch after data from the backend.
+func (w *watchdog) reset() {
 	if w.timer == nil {
 		return
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.since = w.run.now()
+	w.lastHeard = w.run.now()
 	w.paused = false
 }
 
-// stop ends the watch.
 func (w *watchdog) stop() {
 	if w.timer == nil {
 		return
--- a/internal/relay/whole.go
+++ b/internal/relay/whole.go
@@ -12,54 +12,54 @@
 	"github.com/lotusward/lotusward/internal/core/outcome"
 )
 
-// maximumBufferedAnswer is the longest body that is read to its end before the
-// caller gets the head.
-const maximumBufferedAnswer = 256 << 10
+// maxBufferedAnswer is the maximum length of a body that is read to its end before the caller gets
+// the head.
+const maxBufferedAnswer = 256 << 10
 
-// wholeAnswer is an answer that was read to its end.
-type wholeAnswer struct {
+// bufferedAnswer is an answer that has been read to its end.
+type bufferedAnswer struct {
 	head Head
 	body []byte
 }
 
-// passWhole reads an answer to its end and passes it on. So a cut answer can be
-// told apart before the caller has any of it. A failure of a repeatable request
-// is kept back, since another back end may do better.
-func (r *run) passWhole(ctx context.Context, answer *Answer, success bool) (step, failure) {
+// forwardBuffered reads an answer to its end and forwards it, so that an incomplete answer is
+// detected before the caller has received any of it. A failure answer to a repeatable request is
+// held back, because another backend may do better.
+func (r *run) forwardBuffered(ctx context.Context, answer *Answer, success bool) (step, failure) {
 	var body bytes.Buffer
-	if answer.Head.Length > 0 && answer.Head.Length <= maximumBufferedAnswer {
+	if answer.Head.Length > 0 && answer.Head.Length <= maxBufferedAnswer {
 		body.Grow(int(answer.Head.Length) + bytes.MinRead)
 	}
-	_, err := io.CopyN(accountedWriter{r, &body}, answer.Body, maximumBufferedAnswer)
+	_, err := io.CopyN(accountedWriter{r, &body}, answer.Body, maxBufferedAnswer)
 	var full *buffers.FullError
 	if success && (err == nil || errors.As(err, &full)) {
-		return r.passLong(ctx, answer, body.Bytes())
+		return r.forwardUnbuffered(ctx, answer, body.Bytes())
 	}
 	if err != io.EOF {
-		failed := failure{evidence: outcome.Answered, result: backendpool.ResultCut, reason: reasonOf(ctx, "cut_answer")}
-		return stepAgain, r.interrupted(ctx, failed)
+		failed := failure{evidence: outcome.Answered, result: backendpool.ResultCut, reason: cancelReason(ctx, "cut_answer")}
+		return stepRetry, r.adjustForCancel(ctx, failed)
 	}
-	whole := &wholeAnswer{head: answer.Head, body: body.Bytes()}
+	whole := &bufferedAnswer{head: answer.Head, body: body.Bytes()}
 	whole.head.Length = int64(body.Len())
 	if !success && r.admitted.match.Route.Repeatable() && answer.Head.Status >= http.StatusInternalServerError {
-		return stepAgain, failure{evidence: outcome.Answered, result: backendpool.ResultFailed, reason: reasonBackendFailure, pass: whole}
+		return stepRetry, failure{evidence: outcome.Answered, result: backendpool.ResultFailed, reason: reasonBackendFailure, fallback: whole}
 	}
-	r.sendWhole(whole)
+	r.writeBuffered(whole)
 	if !success && answer.Head.Status >= http.StatusInternalServerError {
-		return stepEnd, failure{result: backendpool.ResultFailed, reason: reasonBackendFailure}
+		return stepDone, failure{result: backendpool.ResultFailed, reason: reasonBackendFailure}
 	}
-	return stepEnd, failure{result: backendpool.ResultServed}
+	return stepDone, failure{result: backendpool.ResultServed}
 }
 
-// passOn gives the caller a failure that was kept back.
-func (r *run) passOn(whole *wholeAnswer) {
-	r.sendWhole(whole)
-	r.ended(reasonBackendFailure)
+// forwardFallback forwards a failure answer that was held back.
+func (r *run) forwardFallback(whole *bufferedAnswer) {
+	r.writeBuffered(whole)
+	r.reportServed(reasonBackendFailure)
 }
 
-func (r *run) sendWhole(whole *wholeAnswer) {
+func (r *run) writeBuffered(whole *bufferedAnswer) {
 	r.firstByte = r.now().Sub(r.admitted.request.ArrivedAt)
-	r.begun = true
+	r.headSent = true
 	if err := r.caller.Begin(whole.head); err != nil {
 		return
 	}
@@ -69,37 +69,38 @@
 	_ = r.flush()
 }
 
-// passLong passes on an answer that is too long to be held.
-func (r *run) passLong(ctx context.Context, answer *Answer, first []byte) (step, failure) {
+// forwardUnbuffered forwards an answer that is too long to be buffered.
+func (r *run) forwardUnbuffered(ctx context.Context, answer *Answer, first []byte) (step, failure) {
 	r.firstByte = r.now().Sub(r.admitted.request.ArrivedAt)
-	r.begun = true
+	r.headSent = true
 	if err := r.caller.Begin(answer.Head); err != nil {
-		return stepEnd, failure{result: backendpool.ResultAbandoned, reason: r.left()}
+		return stepDone, failure{result: backendpool.ResultAbandoned, reason: r.abandonReason()}
 	}
 	if err := r.write(first); err != nil {
-		return stepEnd, failure{result: backendpool.ResultAbandoned, reason: r.left()}
+		return stepDone, failure{result: backendpool.ResultAbandoned, reason: r.abandonReason()}
 	}
 	if _, err := io.Copy(callerWriter{r}, answer.Body); err != nil {
 		r.caller.Abort()
-		return stepEnd, r.interrupted(ctx, failure{result: backendpool.ResultCut, reason: reasonOf(ctx, "cut_answer")})
+		return stepDone, r.adjustForCancel(ctx, failure{result: backendpool.ResultCut, reason: cancelReason(ctx, "cut_answer")})
 	}
 	_ = r.flush()
-	return stepEnd, failure{result: backendpool.ResultServed}
+	return stepDone, failure{result: backendpool.ResultServed}
 }
 
-// accountedWriter writes to a buffer within what may be held for a request.
+// accountedWriter writes to a buffer and accounts for the buffered bytes.
 type accountedWriter struct {
 	run    *run
 	buffer *bytes.Buffer
 }
 
-// Write implements io.Writer. A piece for which there is no room is written, as it has been read, and fails.
+// Write implements io.Writer. Bytes that exceed the available space are still written, because
+// they have already been read, but Write returns an error.
 func (w accountedWriter) Write(piece []byte) (int, error) {
 	w.buffer.Write(piece)
 	return len(piece), w.run.admitted.request.Account.Hold(w.run.now(), int64(len(piece)))
 }
 
-// callerWriter writes to a caller as an io.Writer.
+// callerWriter adapts a caller to io.Writer.
 type callerWriter struct{ run *run }
 
 // Write implements io.Writer.
--- a/internal/relay/world_test.go
+++ b/internal/relay/world_test.go
@@ -21,28 +21,28 @@
 	"github.com/lotusward/lotusward/internal/core/routing"
 )
 
-// fixedControl is a Control whose belief tests set.
-type fixedControl struct {
+// fakeControl is a Control with fixed results.
+type fakeControl struct {
 	state     *State
 	published atomic.Pointer[State]
 	confirmed time.Time
 	steady    time.Time
 }
 
-func (c *fixedControl) State() *State {
+func (c *fakeControl) State() *State {
 	if published := c.published.Load(); published != nil {
 		return published
 	}
 	return c.state
 }
 
-// publish replaces the state while requests are under way.
-func (c *fixedControl) publish(state *State) { c.published.Store(state) }
+// publish replaces the state while requests are running.
+func (c *fakeControl) publish(state *State) { c.published.Store(state) }
 
-func (c *fixedControl) ConfirmedAt() time.Time { return c.confirmed }
-func (c *fixedControl) SteadySince() time.Time { return c.steady }
+func (c *fakeControl) ConfirmedAt() time.Time { return c.confirmed }
+func (c *fakeControl) SteadySince() time.Time { return c.steady }
 
-// behaviour is what a scripted back end does with one sending.
+// behaviour is what a scripted backend does in one attempt.
 type behaviour int
 
 const (
@@ -59,8 +59,7 @@
 	behaviours
 )
 
-// scriptedBackends behave as a script says, sending by sending, and keep account
-// of what truly ran.
+// scriptedBackends follow a script, attempt by attempt, and record what actually ran.
 type scriptedBackends struct {
 	mutex      sync.Mutex
 	script     []behaviour
@@ -69,7 +68,7 @@
 	dispatches []*Dispatch
 	ran        int
 	reachable  bool
-	// hang makes the sending wait until its context ends.
+	// hang lists the attempts that block until their context ends.
 	hang map[int]bool
 }
 
@@ -87,7 +86,7 @@
 	return b.script[number], number
 }
 
-// unreached counts the sendings that reached nobody.
+// unreached counts the attempts that reached no backend.
 func (b *scriptedBackends) unreached() int {
 	count := 0
 	for number := range b.dispatches {
@@ -106,13 +105,13 @@
 
 // Send implements Backends.
 func (b *scriptedBackends) Send(ctx context.Context, dispatch *Dispatch) (*Answer, error) {
-	does, number := b.next(dispatch)
+	action, number := b.next(dispatch)
 	if b.hang[number] {
 		b.run()
 		<-ctx.Done()
 		return nil, &SendError{Evidence: outcome.Sent, Cause: context.Cause(ctx)}
 	}
-	switch does {
+	switch action {
 	case behaveUnreached:
 		return nil, &SendError{Evidence: outcome.Unreached, Cause: errors.New("no connection")}
 	case behaveLostBeforeRun:
@@ -126,7 +125,7 @@
 		return b.answer(VerdictReplaced, http.StatusMisdirectedRequest, ""), nil
 	}
 	b.run()
-	switch does {
+	switch action {
 	case behaveInvalid:
 		return b.answer(VerdictInvalid, http.StatusOK, "x"), nil
 	case behaveFailure:
@@ -142,8 +141,8 @@
 		last, _ := strconv.Atoi(dispatch.ResumeAfter)
 		first = last + 1
 	}
-	if does == behaveCutStream {
-		// A stream never holds more than its events, also where none is left to resume.
+	if action == behaveCutStream {
+		// A stream contains nothing but its events, even if none is left to resume.
 		cutAt := min(first+(b.events-first)/2, b.events)
 		stream := eventsText(first, cutAt) + "id: 9"
 		return cut(b.stream(stream)), nil
@@ -174,7 +173,7 @@
 	return answer
 }
 
-// cut makes an answer's body end with a reset.
+// cut makes an answer's body end with a connection reset.
 func cut(answer *Answer) *Answer {
 	answer.Body = io.NopCloser(io.MultiReader(answer.Body, failingReader{}))
 	return answer
@@ -184,7 +183,7 @@
 
 func (failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// recordingCaller keeps what a caller sees.
+// recordingCaller records what a caller receives.
 type recordingCaller struct {
 	head    *Head
 	body    strings.Builder
@@ -211,33 +210,33 @@
 	c.finals++
 }
 
-// lastJournal keeps the ending of the last refused request.
-type lastJournal struct{ last Completion }
+// lastObserver keeps the completion of the last refused request.
+type lastObserver struct{ last Completion }
 
-func (j *lastJournal) Refused(_ *Request, ended *Completion, _ Refusal) {
+func (j *lastObserver) Refused(_ *Request, ended *Completion, _ Refusal) {
 	if ended != nil {
 		j.last = *ended
 	}
 }
-func (*lastJournal) Served(*Request, *Completion)                   {}
-func (*lastJournal) Retried(*Request, Attempt)                      {}
-func (*lastJournal) Ejected(identity.BackendID, backendpool.Result) {}
-func (*lastJournal) Noticed(*Request, identity.BackendID, backendpool.Notice) {
+func (*lastObserver) Served(*Request, *Completion)                   {}
+func (*lastObserver) Retried(*Request, Attempt)                      {}
+func (*lastObserver) Ejected(identity.BackendID, backendpool.Result) {}
+func (*lastObserver) Noticed(*Request, identity.BackendID, backendpool.Notice) {
 }
 
-// world is a relay among scripted back ends.
-type world struct {
-	control  *fixedControl
+// fixture is a relay with scripted backends.
+type fixture struct {
+	control  *fakeControl
 	backends *scriptedBackends
 	pool     *backendpool.Pool
 	budgets  *RetryBudgets
 	relay    *Relay
-	journal  *lastJournal
+	observer *lastObserver
 	route    *routing.Route
 }
 
-// newWorld makes a relay with one route and a number of back ends.
-func newWorld(route routing.Route, count int, floor int) *world {
+// newFixture returns a relay with one route and the given number of backends.
+func newFixture(route routing.Route, count int, floor int) *fixture {
 	route.Name, route.Host, route.PathPrefix = "r", "h.example", "/"
 	route.Split = []routing.Share{{Service: "s", Weight: 1}}
 	configuration := &routing.Configuration{
@@ -247,18 +246,18 @@
 			{Name: "walled", Keys: []string{"walled key"}, Isolated: true},
 		},
 	}
-	made := &world{
-		control:  &fixedControl{state: &State{Table: routing.Compile(configuration)}, confirmed: time.Now()},
+	made := &fixture{
+		control:  &fakeControl{state: &State{Table: routing.Compile(configuration)}, confirmed: time.Now()},
 		backends: &scriptedBackends{reachable: true, hang: map[int]bool{}},
 		pool:     backendpool.New("a"),
-		journal:  &lastJournal{},
+		observer: &lastObserver{},
 		route:    &route,
 	}
 	made.budgets = NewRetryBudgets(retry.Limits{Window: 10 * time.Second, Ratio: 0.2, Floor: floor})
 	made.pool.Update(backendList(count))
 	cache := &cachewatch.Cache{}
 	made.relay = New(Options{
-		Control: made.control, Pool: made.pool, Backends: made.backends, Budgets: made.budgets, Observer: made.journal,
+		Control: made.control, Pool: made.pool, Backends: made.backends, Budgets: made.budgets, Observer: made.observer,
 		Memory: promptcache.New(), Stores: func(string) *cachewatch.Cache { return cache }, Daemons: func() int { return 1 },
 		Policy: Policy{
 			MaxConfirmationAgeForKeys: 4 * time.Second, MaxConfirmationAgeForDenials: time.Second,
@@ -279,8 +278,8 @@
 	return list
 }
 
-// ask serves one request and returns what the caller saw.
-func (w *world) ask(change func(*Request)) *recordingCaller {
+// ask serves one request and returns what the caller received.
+func (w *fixture) ask(change func(*Request)) *recordingCaller {
 	request := &Request{
 		ID: "q", Method: http.MethodPost, Host: "h.example", Target: "/x", Path: "/x",
 		Header: http.Header{}, Key: "key", ArrivedAt: time.Now(), Timeout: 10 * time.Second,
