--- a/internal/requestlog/counters.go
+++ b/internal/requestlog/counters.go
@@ -10,41 +10,41 @@
 
 const namespace = "lotusward"
 
-// Counters count how requests end. Labels are bounded: outcomes, reasons and
-// results are fixed words, and there is no label for tenants, keys or requests.
+// Counters holds the metrics of request outcomes. Label cardinality is bounded: outcomes, reasons
+// and results come from fixed sets, and there are no labels for tenants, keys or requests.
 type Counters struct {
-	requests   *prometheus.CounterVec
-	attempts   *prometheus.CounterVec
-	storeCalls *prometheus.CounterVec
-	limits     *prometheus.CounterVec
-	parts      *prometheus.CounterVec
-	weights    *prometheus.CounterVec
-	notices    *prometheus.CounterVec
-	resumed    prometheus.Counter
-	unloggedN  prometheus.Counter
-	firstByte  prometheus.Histogram
-	elapsed    prometheus.Histogram
+	requests        *prometheus.CounterVec
+	retries         *prometheus.CounterVec
+	storeCalls      *prometheus.CounterVec
+	tenantLimits    *prometheus.CounterVec
+	backendLimits   *prometheus.CounterVec
+	replacedWeights *prometheus.CounterVec
+	notices         *prometheus.CounterVec
+	resumed         prometheus.Counter
+	unloggedTotal   prometheus.Counter
+	firstByte       prometheus.Histogram
+	elapsed         prometheus.Histogram
 }
 
-// NewCounters makes the counters and registers them.
+// NewCounters creates the metrics and registers them.
 func NewCounters(registerer prometheus.Registerer) *Counters {
 	counters := &Counters{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "requests_total", Help: "Requests by outcome and reason.",
 		}, []string{"outcome", "reason"}),
-		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
+		retries: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "repeats_total", Help: "Second sendings by the reason for them.",
 		}, []string{"reason"}),
 		storeCalls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "store_calls_total", Help: "Calls of the metadata store by result.",
 		}, []string{"call", "result"}),
-		limits: prometheus.NewCounterVec(prometheus.CounterOpts{
+		tenantLimits: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "limit_decisions_total", Help: "Requests of tenants with a limit, by who decided (grantor, own_part) and the outcome.",
 		}, []string{"by", "outcome"}),
-		parts: prometheus.NewCounterVec(prometheus.CounterOpts{
+		backendLimits: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "backend_limit_decisions_total", Help: "Parts of back ends' limits that were asked for, by who decided (grantor, own_part) and the outcome.",
 		}, []string{"by", "outcome"}),
-		weights: prometheus.NewCounterVec(prometheus.CounterOpts{
+		replacedWeights: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "replaced_weights_total",
 			Help: "Sendings to back ends whose weights were replaced, by what bounds their begin (named, guessed, disturbed) and whether they began (in_time, late, not_begun).",
 		}, []string{"bound", "begun"}),
@@ -55,18 +55,18 @@
 		resumed: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "streams_resumed_total", Help: "Streams that went on at another back end.",
 		}),
-		unloggedN: prometheus.NewCounter(prometheus.CounterOpts{
+		unloggedTotal: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "decisions_unlogged_total", Help: "Decisions that were counted and not logged.",
 		}),
 		firstByte: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Namespace: namespace, Name: "first_byte_seconds", Help: "Time from a request's arrival to its answer's first byte.", Buckets: bucketBounds,
+			Namespace: namespace, Name: "first_byte_seconds", Help: "Time from a request's arrival to its answer's first byte.", Buckets: latencyBuckets,
 		}),
 		elapsed: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Namespace: namespace, Name: "request_seconds", Help: "Time from a request's arrival to its end.", Buckets: bucketBounds,
+			Namespace: namespace, Name: "request_seconds", Help: "Time from a request's arrival to its end.", Buckets: latencyBuckets,
 		}),
 	}
-	registerer.MustRegister(counters.requests, counters.attempts, counters.storeCalls, counters.limits, counters.parts, counters.weights, counters.notices, counters.resumed,
-		counters.unloggedN, counters.firstByte, counters.elapsed)
+	registerer.MustRegister(counters.requests, counters.retries, counters.storeCalls, counters.tenantLimits, counters.backendLimits, counters.replacedWeights, counters.notices, counters.resumed,
+		counters.unloggedTotal, counters.firstByte, counters.elapsed)
 	return counters
 }
 
@@ -79,16 +79,16 @@
 	c.requests.WithLabelValues(string(refusal.Kind), refusal.Reason).Inc()
 }
 
-// limited counts the decision on a tenant's limit, where there was one.
-func (c *Counters) limited(ended *relay.Completion) {
-	if ended == nil || ended.Grant == nil {
+// countTenantLimit counts the decision on a tenant's limit, if there was one.
+func (c *Counters) countTenantLimit(completion *relay.Completion) {
+	if completion == nil || completion.Grant == nil {
 		return
 	}
-	countGrant(c.limits, *ended.Grant)
+	countGrant(c.tenantLimits, *completion.Grant)
 }
 
-// BackendLimit counts the decision on a part of a back end's limit.
-func (c *Counters) BackendLimit(grant sharedlimit.Grant) { countGrant(c.parts, grant) }
+// BackendLimit counts the decision on a share of a backend's limit.
+func (c *Counters) BackendLimit(grant sharedlimit.Grant) { countGrant(c.backendLimits, grant) }
 
 func countGrant(counter *prometheus.CounterVec, grant sharedlimit.Grant) {
 	by, outcome := "grantor", "granted"
@@ -101,19 +101,19 @@
 	counter.WithLabelValues(by, outcome).Inc()
 }
 
-func (c *Counters) served(ended *relay.Completion) {
+func (c *Counters) served(completion *relay.Completion) {
 	outcome := "served"
-	if ended.Cut != "" {
+	if completion.Cut != "" {
 		outcome = "cut"
 	}
-	c.requests.WithLabelValues(outcome, ended.Cut).Inc()
-	c.resumed.Add(float64(ended.Resumed))
-	c.firstByte.Observe(seconds(ended.FirstByte))
-	c.elapsed.Observe(seconds(ended.Elapsed))
+	c.requests.WithLabelValues(outcome, completion.Cut).Inc()
+	c.resumed.Add(float64(completion.Resumed))
+	c.firstByte.Observe(seconds(completion.FirstByte))
+	c.elapsed.Observe(seconds(completion.Elapsed))
 }
 
-// replaced counts a sending to a back end whose weights were replaced; nil is none.
-func (c *Counters) replaced(replaced *relay.ReplacedWeights) {
+// countReplacedWeights counts an attempt at a backend whose weights were replaced; nil is ignored.
+func (c *Counters) countReplacedWeights(replaced *relay.ReplacedWeights) {
 	if replaced == nil {
 		return
 	}
@@ -124,10 +124,10 @@
 	case replaced.BegunLate():
 		begun = "late"
 	}
-	c.weights.WithLabelValues(string(replaced.Bound.Basis), begun).Inc()
+	c.replacedWeights.WithLabelValues(string(replaced.Bound.Basis), begun).Inc()
 }
 
-// noticed counts what a back end said of itself.
+// noticed counts the announcements of a backend about itself.
 func (c *Counters) noticed(notice backendpool.Notice) {
 	if notice.Draining {
 		c.notices.WithLabelValues("draining").Inc()
@@ -143,6 +143,6 @@
 	}
 }
 
-func (c *Counters) retried(attempt relay.Attempt) { c.attempts.WithLabelValues(attempt.Reason).Inc() }
+func (c *Counters) retried(attempt relay.Attempt) { c.retries.WithLabelValues(attempt.Reason).Inc() }
 
-func (c *Counters) unlogged() { c.unloggedN.Inc() }
+func (c *Counters) unlogged() { c.unloggedTotal.Inc() }
--- a/internal/requestlog/requestlog.go
+++ b/internal/requestlog/requestlog.go
@@ -1,6 +1,6 @@
-// Package requestlog turns the relay's decisions into structured log lines and
-// counters. Failures are always logged; requests that ended well are logged up to
-// a rate, and counted beyond it.
+// Package requestlog turns the relay's decisions into structured log lines and metrics. Failed and
+// served requests are logged up to separate rates, failed ones up to a higher one; beyond the
+// rates, lines are only counted. Ejections of backends are always logged.
 package requestlog
 
 import (
@@ -14,13 +14,13 @@
 	"github.com/lotusward/lotusward/internal/relay"
 )
 
-// Rates of lines a second.
+// Maximum log lines per second.
 const (
 	servedRate  = 5
 	failureRate = 50
 )
 
-// Recorder implements relay.Recorder.
+// Recorder implements relay.Observer.
 type Recorder struct {
 	log      logrus.FieldLogger
 	counters *Counters
@@ -28,7 +28,7 @@
 	failures *rate.Limiter
 }
 
-// New makes a Journal.
+// New returns a Recorder that writes to a logger and counters.
 func New(log logrus.FieldLogger, counters *Counters) *Recorder {
 	return &Recorder{
 		log:      log,
@@ -41,73 +41,73 @@
 var _ relay.Observer = (*Recorder)(nil)
 
 // Refused implements relay.Observer.
-func (j *Recorder) Refused(request *relay.Request, ended *relay.Completion, refusal relay.Refusal) {
-	j.counters.refused(refusal)
-	j.counters.limited(ended)
-	if ended != nil {
-		j.counters.replaced(ended.Attempt.Replaced)
-	}
-	if !j.failures.Allow() {
-		j.counters.unlogged()
+func (r *Recorder) Refused(request *relay.Request, completion *relay.Completion, refusal relay.Refusal) {
+	r.counters.refused(refusal)
+	r.counters.countTenantLimit(completion)
+	if completion != nil {
+		r.counters.countReplacedWeights(completion.Attempt.Replaced)
+	}
+	if !r.failures.Allow() {
+		r.counters.unlogged()
 		return
 	}
 	fields := logrus.Fields{"request": request.ID, "outcome": refusal.Kind, "reason": refusal.Reason}
 	addPrompt(fields, request.Prompt)
-	addEnding(fields, ended)
-	j.log.WithFields(fields).Warn("A request was refused.")
+	addCompletion(fields, completion)
+	r.log.WithFields(fields).Warn("A request was refused.")
 }
 
 // Served implements relay.Observer.
-func (j *Recorder) Served(request *relay.Request, ended *relay.Completion) {
-	j.counters.served(ended)
-	j.counters.limited(ended)
-	j.counters.replaced(ended.Attempt.Replaced)
-	limiter := j.served
-	if ended.Cut != "" || ended.Attempt.Replaced.BegunLate() {
-		limiter = j.failures
+func (r *Recorder) Served(request *relay.Request, completion *relay.Completion) {
+	r.counters.served(completion)
+	r.counters.countTenantLimit(completion)
+	r.counters.countReplacedWeights(completion.Attempt.Replaced)
+	limiter := r.served
+	if completion.Cut != "" || completion.Attempt.Replaced.BegunLate() {
+		limiter = r.failures
 	}
 	if !limiter.Allow() {
-		j.counters.unlogged()
+		r.counters.unlogged()
 		return
 	}
-	fields := logrus.Fields{"request": request.ID, "status": ended.Status}
+	fields := logrus.Fields{"request": request.ID, "status": completion.Status}
 	addPrompt(fields, request.Prompt)
-	addEnding(fields, ended)
-	if ended.Cut != "" {
+	addCompletion(fields, completion)
+	if completion.Cut != "" {
 		fields["outcome"] = "cut"
-		fields["reason"] = ended.Cut
-		j.log.WithFields(fields).Warn("An answer ended early.")
+		fields["reason"] = completion.Cut
+		r.log.WithFields(fields).Warn("An answer ended early.")
 		return
 	}
 	fields["outcome"] = "served"
-	j.log.WithFields(fields).Info("A request was served.")
+	r.log.WithFields(fields).Info("A request was served.")
 }
 
 // Retried implements relay.Observer.
-func (j *Recorder) Retried(request *relay.Request, attempt relay.Attempt) {
-	j.counters.retried(attempt)
-	j.counters.replaced(attempt.Replaced)
-	if !j.failures.Allow() {
-		j.counters.unlogged()
+func (r *Recorder) Retried(request *relay.Request, attempt relay.Attempt) {
+	r.counters.retried(attempt)
+	r.counters.countReplacedWeights(attempt.Replaced)
+	if !r.failures.Allow() {
+		r.counters.unlogged()
 		return
 	}
 	fields := logrus.Fields{"request": request.ID, "outcome": "sent_again", "reason": attempt.Reason}
 	addAttempt(fields, attempt)
-	j.log.WithFields(fields).Warn("A request goes to another back end.")
+	r.log.WithFields(fields).Warn("A request goes to another back end.")
 }
 
 // Ejected implements relay.Observer.
-func (j *Recorder) Ejected(backend identity.BackendID, result backendpool.Result) {
+func (r *Recorder) Ejected(backend identity.BackendID, result backendpool.Result) {
 	fields := logrus.Fields{"result": result.String()}
 	addBackend(fields, backend)
-	j.log.WithFields(fields).Warn("A back end is taken out.")
+	r.log.WithFields(fields).Warn("A back end is taken out.")
 }
 
 // Noticed implements relay.Observer.
-func (j *Recorder) Noticed(request *relay.Request, backend identity.BackendID, notice backendpool.Notice) {
-	j.counters.noticed(notice)
-	if !j.failures.Allow() {
-		j.counters.unlogged()
+func (r *Recorder) Noticed(request *relay.Request, backend identity.BackendID, notice backendpool.Notice) {
+	r.counters.noticed(notice)
+	if !r.failures.Allow() {
+		r.counters.unlogged()
 		return
 	}
 	fields := logrus.Fields{"request": request.ID}
@@ -116,10 +116,10 @@
 	if notice.Limit.Word == backendpool.LimitNone {
 		fields["backend_limit_ended"] = true
 	}
-	j.log.WithFields(fields).Warn("A back end drains, asks for no requests, or changes how many it takes.")
+	r.log.WithFields(fields).Warn("A back end drains, asks for no requests, or changes how many it takes.")
 }
 
-// addNotice tells what a back end said of itself in an answer.
+// addNotice adds what a backend announced about itself in an answer.
 func addNotice(fields logrus.Fields, notice backendpool.Notice) {
 	if notice.Draining {
 		fields["backend_draining"] = true
@@ -132,7 +132,7 @@
 	}
 }
 
-// addBackend tells a back end, and which of its lives it was where that is known.
+// addBackend adds the name of a backend and, if known, its incarnation.
 func addBackend(fields logrus.Fields, backend identity.BackendID) {
 	fields["backend"] = backend.Name()
 	if incarnation := backend.Incarnation(); incarnation > 0 {
@@ -140,8 +140,7 @@
 	}
 }
 
-// addPrompt tells the deepest part of a prompt that is shared with other requests,
-// and how long the prompt is.
+// addPrompt adds the length of a prompt and its last part that is shared with other requests.
 func addPrompt(fields logrus.Fields, prompt *relay.Prompt) {
 	if prompt == nil {
 		return
@@ -157,27 +156,27 @@
 	}
 }
 
-func addEnding(fields logrus.Fields, ended *relay.Completion) {
-	if ended == nil {
+func addCompletion(fields logrus.Fields, completion *relay.Completion) {
+	if completion == nil {
 		return
 	}
-	if ended.Route != "" {
-		fields["route"] = ended.Route
-		fields["service"] = ended.Service
+	if completion.Route != "" {
+		fields["route"] = completion.Route
+		fields["service"] = completion.Service
 	}
-	fields["configuration"] = ended.ConfigurationVersion
-	fields["configuration_age_ms"] = ended.ConfirmationAge.Milliseconds()
-	fields["elapsed_ms"] = ended.Elapsed.Milliseconds()
-	if ended.Tenant != "" {
-		fields["tenant"] = ended.Tenant
+	fields["configuration"] = completion.ConfigurationVersion
+	fields["configuration_age_ms"] = completion.ConfirmationAge.Milliseconds()
+	fields["elapsed_ms"] = completion.Elapsed.Milliseconds()
+	if completion.Tenant != "" {
+		fields["tenant"] = completion.Tenant
 	}
-	if ended.Fingerprint != 0 {
-		fields["fingerprint"] = ended.Fingerprint.String()
+	if completion.Fingerprint != 0 {
+		fields["fingerprint"] = completion.Fingerprint.String()
 	}
-	if ended.Crashes > 0 {
-		fields["crashes"] = ended.Crashes
+	if completion.Crashes > 0 {
+		fields["crashes"] = completion.Crashes
 	}
-	if grant := ended.Grant; grant != nil {
+	if grant := completion.Grant; grant != nil {
 		fields["limit_cost"] = grant.Cost
 		fields["limit_per_second"] = grant.Limit.RatePerSecond
 		fields["limit_configuration"] = grant.Limit.Version
@@ -185,13 +184,13 @@
 		fields["limit_own_part"] = grant.Own
 		fields["limit_wait_ms"] = grant.Wait.Milliseconds()
 	}
-	if ended.FirstByte > 0 {
-		fields["first_byte_ms"] = ended.FirstByte.Milliseconds()
+	if completion.FirstByte > 0 {
+		fields["first_byte_ms"] = completion.FirstByte.Milliseconds()
 	}
-	if ended.Resumed > 0 {
-		fields["resumed"] = ended.Resumed
+	if completion.Resumed > 0 {
+		fields["resumed"] = completion.Resumed
 	}
-	if shortage := ended.Shortage; shortage != (backendpool.Shortage{}) {
+	if shortage := completion.Shortage; shortage != (backendpool.Shortage{}) {
 		fields["back_ends"] = shortage.Listed
 		fields["draining"] = shortage.Draining
 		fields["failed"] = shortage.Failed
@@ -206,7 +205,7 @@
 			fields["other_version"] = shortage.OtherVersion
 		}
 	}
-	addAttempt(fields, ended.Attempt)
+	addAttempt(fields, completion.Attempt)
 }
 
 func addAttempt(fields logrus.Fields, attempt relay.Attempt) {
@@ -257,7 +256,7 @@
 	}
 }
 
-// bucketBounds are the upper bounds of the latency histograms.
-var bucketBounds = []float64{0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.45, 0.6, 0.8, 1.2, 2, 4, 8, 16}
+// latencyBuckets are the upper bounds of the latency histograms' buckets, in seconds.
+var latencyBuckets = []float64{0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.45, 0.6, 0.8, 1.2, 2, 4, 8, 16}
 
 func seconds(duration time.Duration) float64 { return duration.Seconds() }
--- a/internal/requestlog/requestlog_test.go
+++ b/internal/requestlog/requestlog_test.go
@@ -18,7 +18,7 @@
 	"github.com/lotusward/lotusward/internal/sharedlimit"
 )
 
-func journalTo(output *bytes.Buffer) (*Recorder, *prometheus.Registry) {
+func newTestRecorder(output *bytes.Buffer) (*Recorder, *prometheus.Registry) {
 	logger := logrus.New()
 	logger.SetOutput(output)
 	logger.SetFormatter(&logrus.JSONFormatter{})
@@ -26,7 +26,7 @@
 	return New(logger, NewCounters(registry)), registry
 }
 
-func lines(t *testing.T, output *bytes.Buffer) []map[string]any {
+func logLines(t *testing.T, output *bytes.Buffer) []map[string]any {
 	t.Helper()
 	var found []map[string]any
 	for _, text := range strings.Split(strings.TrimSpace(output.String()), "\n") {
@@ -37,7 +37,7 @@
 	return found
 }
 
-func ending() *relay.Completion {
+func testCompletion() *relay.Completion {
 	return &relay.Completion{
 		Route: "r", Service: "s", ConfigurationVersion: 7, ConfirmationAge: 90 * time.Millisecond, Tenant: "t",
 		Attempt: relay.Attempt{Number: 2, Backend: "b", Version: 3, Reason: "sent", Elapsed: time.Second},
@@ -45,13 +45,13 @@
 	}
 }
 
-// TestLinesTellInputsAndOutcome checks the fields of a refusal.
-func TestLinesTellInputsAndOutcome(t *testing.T) {
+// TestRefusalLogFields checks the log fields of a refusal.
+func TestRefusalLogFields(t *testing.T) {
 	var output bytes.Buffer
-	journal, _ := journalTo(&output)
+	recorder, _ := newTestRecorder(&output)
 	request := &relay.Request{ID: "q", Prompt: &relay.Prompt{Parts: []relay.Part{{ID: "a", Tokens: 60}, {ID: "b", Tokens: 40}}}}
-	journal.Refused(request, ending(), relay.Refusal{Kind: relay.RefusalUnknown, Reason: "sent"})
-	line := lines(t, &output)[0]
+	recorder.Refused(request, testCompletion(), relay.Refusal{Kind: relay.RefusalUnknown, Reason: "sent"})
+	line := logLines(t, &output)[0]
 	want := map[string]any{
 		"request": "q", "outcome": "unknown", "reason": "sent", "route": "r", "service": "s", "tenant": "t",
 		"configuration": 7.0, "configuration_age_ms": 90.0, "attempt": 2.0, "backend": "b", "weights": 3.0,
@@ -63,18 +63,18 @@
 	}
 }
 
-// TestServedRequestsAreSampled logs only some of many served requests and counts
-// all, and logs failures beyond the rate of served ones.
+// TestServedRequestsAreSampled checks that only some of many served requests are logged but all
+// are counted, and that failures are still logged beyond the rate of served requests.
 func TestServedRequestsAreSampled(t *testing.T) {
 	var output bytes.Buffer
-	journal, registry := journalTo(&output)
+	recorder, registry := newTestRecorder(&output)
 	const requests = 500
 	for range requests {
-		journal.Served(&relay.Request{ID: "q"}, &relay.Completion{})
+		recorder.Served(&relay.Request{ID: "q"}, &relay.Completion{})
 	}
-	journal.Refused(&relay.Request{ID: "failed"}, nil, relay.Refusal{Kind: relay.RefusalNotRun, Reason: "no_backend"})
-	journal.Ejected(identity.BackendID("b"), backendpool.ResultFailed)
-	found := lines(t, &output)
+	recorder.Refused(&relay.Request{ID: "failed"}, nil, relay.Refusal{Kind: relay.RefusalNotRun, Reason: "no_backend"})
+	recorder.Ejected(identity.BackendID("b"), backendpool.ResultFailed)
+	found := logLines(t, &output)
 	assert.Assert(t, len(found) <= 3*servedRate+2, "%d lines", len(found))
 	assert.Equal(t, found[len(found)-2]["request"], "failed")
 	families, err := registry.Gather()
@@ -94,17 +94,18 @@
 	assert.Equal(t, unlogged, float64(requests+2-len(found)))
 }
 
-// TestLimitsAreLoggedAndCounted logs what decided on a tenant's limit, and counts who did.
+// TestLimitsAreLoggedAndCounted checks that the decision on a tenant's limit is logged and that
+// the decider is counted.
 func TestLimitsAreLoggedAndCounted(t *testing.T) {
 	var output bytes.Buffer
-	journal, registry := journalTo(&output)
-	ended := ending()
-	ended.Grant = &sharedlimit.Grant{
+	recorder, registry := newTestRecorder(&output)
+	completion := testCompletion()
+	completion.Grant = &sharedlimit.Grant{
 		Decision: quota.Decision{Wait: 40 * time.Millisecond}, Grantor: "10.0.0.1:1", Own: true, Cost: 900,
 		Limit: quota.Limit{Version: 6, RatePerSecond: 500},
 	}
-	journal.Refused(&relay.Request{ID: "q"}, ended, relay.Refusal{Kind: relay.RefusalOverLimit, Reason: "over_limit"})
-	line := lines(t, &output)[0]
+	recorder.Refused(&relay.Request{ID: "q"}, completion, relay.Refusal{Kind: relay.RefusalOverLimit, Reason: "over_limit"})
+	line := logLines(t, &output)[0]
 	for name, value := range map[string]any{
 		"outcome": "over_limit", "limit_cost": 900.0, "limit_by": "10.0.0.1:1", "limit_own_part": true,
 		"limit_wait_ms": 40.0, "limit_per_second": 500.0, "limit_configuration": 6.0,
@@ -114,7 +115,7 @@
 	assert.Equal(t, onlyCounter(t, registry, "lotusward_limit_decisions_total"), 1.0)
 }
 
-// onlyCounter returns the value of a family of counters that has one.
+// onlyCounter returns the value of a metric family that has a single counter.
 func onlyCounter(t *testing.T, registry *prometheus.Registry, name string) float64 {
 	t.Helper()
 	families, err := registry.Gather()
@@ -129,20 +130,21 @@
 	return 0
 }
 
-// TestBeginsOnReplacedWeightsAreTold logs each request that began too late on replaced weights, by
-// which time it was bound and what that counts from, and counts all.
-func TestBeginsOnReplacedWeightsAreTold(t *testing.T) {
+// TestLateStartsOnReplacedWeightsAreLogged checks that each request that started too late on
+// replaced weights is logged with the bound and its basis, beyond the rate of served requests, and
+// that all are counted.
+func TestLateStartsOnReplacedWeightsAreLogged(t *testing.T) {
 	var output bytes.Buffer
-	journal, registry := journalTo(&output)
+	recorder, registry := newTestRecorder(&output)
 	const requests = 3 * servedRate
 	for range requests {
-		ended := ending()
-		ended.Attempt.Replaced = &relay.ReplacedWeights{
+		completion := testCompletion()
+		completion.Attempt.Replaced = &relay.ReplacedWeights{
 			Bound: relay.BeginBound{At: time.Now(), Basis: relay.BasisGuessed, Newer: 9}, Left: -time.Second, Begun: true,
 		}
-		journal.Served(&relay.Request{ID: "q"}, ended)
+		recorder.Served(&relay.Request{ID: "q"}, completion)
 	}
-	found := lines(t, &output)
+	found := logLines(t, &output)
 	assert.Equal(t, len(found), requests)
 	want := map[string]any{"weights": 3.0, "weights_named": 9.0, "begin_bound": "guessed", "begin_left_ms": -1000.0, "begun": true}
 	for name, value := range want {
