--- a/internal/core/quarantine/ledger.go
+++ b/internal/core/quarantine/tracker.go
@@ -14,11 +14,11 @@
 	// a quarter of 18 back ends ended six times in a day, none was quarantined, with two as with
 	// three (six seeds). Each end more cuts some four other requests.
 	CrashLimit = 2
-	// HoldTime is how long evidence counts, so that a quarantine ends this long after the last
+	// EvidenceTTL is how long evidence counts, so that a quarantine ends this long after the last
 	// end but one: a request that ends whoever runs it then ends two back ends in ten minutes
 	// at most, and one that was quarantined wrongly, or that the back ends have learnt to
 	// stand, is served again without an operator.
-	HoldTime = 10 * time.Minute
+	EvidenceTTL = 10 * time.Minute
 	// maximumRecords bounds the requests that are remembered, some 200 bytes each. A zone that
 	// is lost with 466 back ends takes some 9,300 requests with it; the oldest evidence goes
 	// first.
@@ -35,21 +35,21 @@
 	At      time.Time
 }
 
-// Verdict is what is believed of a request.
-type Verdict struct {
+// Status is what is believed of a request.
+type Status struct {
 	// Crashes is how many back ends have ended under it.
 	Crashes int
 	// Quarantined requests are given to no back end, and Left is for how long still.
 	Quarantined bool
-	Left        time.Duration
+	Remaining        time.Duration
 	// Uncertain requests would be quarantined if all back ends had ended of which that is
 	// being looked into. A ledger knows of none.
 	Uncertain bool
 }
 
-// Ledger counts the back ends that ended under each request. Make it with NewLedger; it isn't
+// Tracker counts the back ends that ended under each request. Make it with NewLedger; it isn't
 // safe for use by several goroutines.
-type Ledger struct {
+type Tracker struct {
 	records map[Fingerprint]*record
 }
 
@@ -61,12 +61,12 @@
 	acquittedAt time.Time
 }
 
-// NewLedger makes a Ledger without evidence.
-func NewLedger() *Ledger { return &Ledger{records: map[Fingerprint]*record{}} }
+// NewTracker makes a Ledger without evidence.
+func NewTracker() *Tracker { return &Tracker{records: map[Fingerprint]*record{}} }
 
 // Add takes evidence in. It returns false if it was known, or counts for nothing.
-func (l *Ledger) Add(now time.Time, crash Crash) bool {
-	if now.Sub(crash.At) >= HoldTime {
+func (l *Tracker) Add(now time.Time, crash Crash) bool {
+	if now.Sub(crash.At) >= EvidenceTTL {
 		return false
 	}
 	found := l.records[crash.Fingerprint]
@@ -81,7 +81,7 @@
 // add takes evidence in. An end keeps the time at which it was first heard of: what daemons send
 // each other again and again is older by its way each time, and would never end otherwise.
 func (r *record) add(now time.Time, crash Crash) bool {
-	r.crashes = slices.DeleteFunc(r.crashes, func(each Crash) bool { return now.Sub(each.At) >= HoldTime })
+	r.crashes = slices.DeleteFunc(r.crashes, func(each Crash) bool { return now.Sub(each.At) >= EvidenceTTL })
 	known := slices.ContainsFunc(r.crashes, func(each Crash) bool { return each.Backend == crash.Backend })
 	if known || !crash.At.After(r.acquittedAt) {
 		return false
@@ -94,9 +94,9 @@
 
 func byTime(left, right Crash) int { return left.At.Compare(right.At) }
 
-// Acquit notes that a request had a whole answer at a time, so that the back end that ran it
+// RecordSuccess notes that a request had a whole answer at a time, so that the back end that ran it
 // did not end of it. It returns false if nothing was held against the request.
-func (l *Ledger) Acquit(fingerprint Fingerprint, at time.Time) bool {
+func (l *Tracker) RecordSuccess(fingerprint Fingerprint, at time.Time) bool {
 	found := l.records[fingerprint]
 	if found == nil || !at.After(found.acquittedAt) {
 		return false
@@ -107,31 +107,31 @@
 	return len(found.crashes) < before
 }
 
-// Verdict tells what is believed of a request.
-func (l *Ledger) Verdict(now time.Time, fingerprint Fingerprint) Verdict {
+// Status tells what is believed of a request.
+func (l *Tracker) Status(now time.Time, fingerprint Fingerprint) Status {
 	found := l.records[fingerprint]
 	if found == nil {
-		return Verdict{}
+		return Status{}
 	}
 	return found.verdict(now)
 }
 
-func (r *record) verdict(now time.Time) Verdict {
-	first := slices.IndexFunc(r.crashes, func(each Crash) bool { return now.Sub(each.At) < HoldTime })
+func (r *record) verdict(now time.Time) Status {
+	first := slices.IndexFunc(r.crashes, func(each Crash) bool { return now.Sub(each.At) < EvidenceTTL })
 	if first < 0 {
-		return Verdict{}
+		return Status{}
 	}
 	counted := r.crashes[first:]
-	verdict := Verdict{Crashes: len(counted), Quarantined: len(counted) >= CrashLimit}
+	verdict := Status{Crashes: len(counted), Quarantined: len(counted) >= CrashLimit}
 	if verdict.Quarantined {
-		verdict.Left = HoldTime - now.Sub(counted[len(counted)-CrashLimit].At)
+		verdict.Remaining = EvidenceTTL - now.Sub(counted[len(counted)-CrashLimit].At)
 	}
 	return verdict
 }
 
 // Quarantined returns the evidence against the requests that are quarantined, the newest
 // requests first, and of no more of them than most.
-func (l *Ledger) Quarantined(now time.Time, most int) []Crash {
+func (l *Tracker) Quarantined(now time.Time, most int) []Crash {
 	var held []*record
 	for _, each := range l.records {
 		if each.verdict(now).Quarantined {
@@ -157,13 +157,13 @@
 }
 
 // Sweep forgets what counts no longer.
-func (l *Ledger) Sweep(now time.Time) {
-	maps.DeleteFunc(l.records, func(_ Fingerprint, each *record) bool { return now.Sub(each.newest()) >= HoldTime })
+func (l *Tracker) Sweep(now time.Time) {
+	maps.DeleteFunc(l.records, func(_ Fingerprint, each *record) bool { return now.Sub(each.newest()) >= EvidenceTTL })
 }
 
 // makeRoom forgets the oldest evidence where there is too much, and a tenth at once, so that
 // it is seldom sorted.
-func (l *Ledger) makeRoom(now time.Time) {
+func (l *Tracker) makeRoom(now time.Time) {
 	if len(l.records) < maximumRecords {
 		return
 	}
--- a/internal/core/quarantine/ledger_test.go
+++ b/internal/core/quarantine/tracker_test.go
@@ -34,7 +34,7 @@
 }
 
 func (o *oracle) counts(now time.Time, key end, at time.Time) bool {
-	return now.Sub(at) < HoldTime && at.After(o.acquitted[key.fingerprint])
+	return now.Sub(at) < EvidenceTTL && at.After(o.acquitted[key.fingerprint])
 }
 
 // ends are the times at which back ends ended under a request, as far as they count.
@@ -52,7 +52,7 @@
 // twice and out of order, and compares each verdict with one on all that was ever told.
 func TestVerdictsAreThoseOfAllEvidence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ledger, told := NewLedger(), &oracle{ended: map[end]time.Time{}, acquitted: map[Fingerprint]time.Time{}}
+		ledger, told := NewTracker(), &oracle{ended: map[end]time.Time{}, acquitted: map[Fingerprint]time.Time{}}
 		now := start
 		fingerprints := rapid.SampledFrom([]Fingerprint{1, 2, 3})
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -61,7 +61,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
 				if at := now.Add(-late); at.After(told.acquitted[fingerprint]) && ledger.records[fingerprint] != nil {
-					ledger.Acquit(fingerprint, at)
+					ledger.RecordSuccess(fingerprint, at)
 					told.acquitted[fingerprint] = at
 				}
 			case 1:
@@ -75,11 +75,11 @@
 			}
 			for _, each := range []Fingerprint{1, 2, 3} {
 				ends := told.ends(now, each)
-				want := Verdict{Crashes: len(ends), Quarantined: len(ends) >= CrashLimit}
+				want := Status{Crashes: len(ends), Quarantined: len(ends) >= CrashLimit}
 				if want.Quarantined {
-					want.Left = HoldTime - now.Sub(ends[len(ends)-CrashLimit])
+					want.Remaining = EvidenceTTL - now.Sub(ends[len(ends)-CrashLimit])
 				}
-				assert.DeepEqual(t, ledger.Verdict(now, each), want)
+				assert.DeepEqual(t, ledger.Status(now, each), want)
 			}
 		}
 	})
@@ -87,7 +87,7 @@
 
 // TestEvidenceOfQuarantinesCarriesThem gives what one ledger tells to another.
 func TestEvidenceOfQuarantinesCarriesThem(t *testing.T) {
-	first, second := NewLedger(), NewLedger()
+	first, second := NewTracker(), NewTracker()
 	for index := range 5 {
 		first.Add(start, Crash{Fingerprint: 1, Backend: uint64(index), At: start.Add(time.Duration(index) * time.Second)})
 	}
@@ -96,33 +96,33 @@
 	for _, crash := range first.Quarantined(now, 10) {
 		assert.Assert(t, second.Add(now, crash))
 	}
-	assert.Equal(t, second.Verdict(now, 1).Left, first.Verdict(now, 1).Left)
-	assert.Assert(t, second.Verdict(now, 1).Quarantined)
-	assert.Equal(t, second.Verdict(now, 2).Crashes, 0)
+	assert.Equal(t, second.Status(now, 1).Remaining, first.Status(now, 1).Remaining)
+	assert.Assert(t, second.Status(now, 1).Quarantined)
+	assert.Equal(t, second.Status(now, 2).Crashes, 0)
 	assert.Equal(t, len(first.Quarantined(now, 0)), 0)
 }
 
 // TestLedgerIsBounded takes evidence against more requests than it holds: the newest stay.
 func TestLedgerIsBounded(t *testing.T) {
-	ledger := NewLedger()
+	ledger := NewTracker()
 	for index := range 3 * maximumRecords / 2 {
 		now := start.Add(time.Duration(index) * time.Millisecond)
 		ledger.Add(now, Crash{Fingerprint: Fingerprint(index), Backend: 1, At: now})
 		assert.Assert(t, len(ledger.records) <= maximumRecords)
-		assert.Equal(t, ledger.Verdict(now, Fingerprint(index)).Crashes, 1)
+		assert.Equal(t, ledger.Status(now, Fingerprint(index)).Crashes, 1)
 	}
 }
 
 // TestRepeatedEvidenceDoesNotRenew sends evidence to and fro, a little late each time, as daemons
 // do: the quarantine ends when it would have.
 func TestRepeatedEvidenceDoesNotRenew(t *testing.T) {
-	first, second := NewLedger(), NewLedger()
+	first, second := NewTracker(), NewTracker()
 	for backend := range uint64(CrashLimit) {
 		first.Add(start, Crash{Fingerprint: 1, Backend: backend + 1, At: start})
 	}
 	now := start
-	for now.Sub(start) < HoldTime+time.Minute {
-		for _, way := range [][2]*Ledger{{first, second}, {second, first}} {
+	for now.Sub(start) < EvidenceTTL+time.Minute {
+		for _, way := range [][2]*Tracker{{first, second}, {second, first}} {
 			for _, crash := range way[0].Quarantined(now, 1) {
 				crash.At = crash.At.Add(500 * time.Millisecond) // its age was of when it was sent
 				way[1].Add(now.Add(500*time.Millisecond), crash)
@@ -130,5 +130,5 @@
 		}
 		now = now.Add(time.Second)
 	}
-	assert.Assert(t, !first.Verdict(now, 1).Quarantined && !second.Verdict(now, 1).Quarantined)
+	assert.Assert(t, !first.Status(now, 1).Quarantined && !second.Status(now, 1).Quarantined)
 }
--- a/internal/crashwatch/fleet_test.go
+++ b/internal/crashwatch/fleet_test.go
@@ -308,7 +308,7 @@
 		time.Sleep(detectTime + 350*time.Millisecond)
 		for _, each := range fleet.daemons {
 			assert.Assert(t, each.watcher.Verdict(7).Quarantined)
-			assert.Assert(t, each.watcher.Verdict(7).Left > quarantine.HoldTime-5*time.Second)
+			assert.Assert(t, each.watcher.Verdict(7).Remaining > quarantine.EvidenceTTL-5*time.Second)
 		}
 		rows, err := fleet.table.Read(t.Context(), RowKey)
 		assert.NilError(t, err)
@@ -375,7 +375,7 @@
 		assert.Assert(t, watcher.Verdict(7).Uncertain)
 		assert.Assert(t, !watcher.Verdict(8).Uncertain)
 		watcher.Checked("b1", true)
-		assert.Equal(t, watcher.Verdict(7), quarantine.Verdict{})
+		assert.Equal(t, watcher.Verdict(7), quarantine.Status{})
 		watcher.Checked("b1", false) // another one has its address: the one before had ended
 		assert.Assert(t, watcher.Verdict(7).Uncertain)
 		watcher.Checked("b2", false)
--- a/internal/crashwatch/watcher.go
+++ b/internal/crashwatch/watcher.go
@@ -60,7 +60,7 @@
 	changed atomic.Bool
 
 	mutex  sync.Mutex
-	ledger *quarantine.Ledger
+	ledger *quarantine.Tracker
 	// cuts are the connections that were lost lately, by back end; count is how many.
 	cuts  map[identity.BackendID][]cut
 	count int
@@ -80,18 +80,18 @@
 func New(options Options) *Watcher {
 	made := &Watcher{
 		options: options, limiter: rate.NewLimiter(bytesPerSecond, burstBytes),
-		ledger: quarantine.NewLedger(), cuts: map[identity.BackendID][]cut{},
+		ledger: quarantine.NewTracker(), cuts: map[identity.BackendID][]cut{},
 	}
 	peerlink.HandleDecoded(options.Link, peerlink.KindCrashes, made.receive)
 	return made
 }
 
 // Verdict tells what is believed of a request, and whether it may soon be quarantined.
-func (w *Watcher) Verdict(fingerprint quarantine.Fingerprint) quarantine.Verdict {
+func (w *Watcher) Verdict(fingerprint quarantine.Fingerprint) quarantine.Status {
 	now := clock.Now()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	verdict := w.ledger.Verdict(now, fingerprint)
+	verdict := w.ledger.Status(now, fingerprint)
 	if verdict.Quarantined || w.count == 0 {
 		return verdict
 	}
@@ -158,14 +158,14 @@
 // add takes evidence in, and logs it where it changes what is believed. The caller holds the
 // mutex. Source is the back end, where this daemon saw it end, or else the daemon that sent it.
 func (w *Watcher) add(now time.Time, crash quarantine.Crash, source string) bool {
-	before := w.ledger.Verdict(now, crash.Fingerprint)
+	before := w.ledger.Status(now, crash.Fingerprint)
 	if !w.ledger.Add(now, crash) {
 		return false
 	}
-	after := w.ledger.Verdict(now, crash.Fingerprint)
+	after := w.ledger.Status(now, crash.Fingerprint)
 	log := w.options.Log.WithFields(logrus.Fields{
 		"fingerprint": crash.Fingerprint.String(), "crashes": after.Crashes, "source": source,
-		"age_ms": now.Sub(crash.At).Milliseconds(), "left_ms": after.Left.Milliseconds(),
+		"age_ms": now.Sub(crash.At).Milliseconds(), "left_ms": after.Remaining.Milliseconds(),
 	})
 	if after.Quarantined && !before.Quarantined {
 		w.changed.Store(true)
@@ -178,8 +178,8 @@
 
 // acquit drops the evidence against a request up to a time. The caller holds the mutex.
 func (w *Watcher) acquit(now time.Time, acquittal quarantine.Crash) bool {
-	before := w.ledger.Verdict(now, acquittal.Fingerprint)
-	if !w.ledger.Acquit(acquittal.Fingerprint, acquittal.At) {
+	before := w.ledger.Status(now, acquittal.Fingerprint)
+	if !w.ledger.RecordSuccess(acquittal.Fingerprint, acquittal.At) {
 		return false
 	}
 	if before.Quarantined {
--- a/internal/relay/crashes.go
+++ b/internal/relay/crashes.go
@@ -13,7 +13,7 @@
 // Crashes knows under which requests back ends ended, at any daemon.
 type Crashes interface {
 	// Verdict tells what is believed of a request.
-	Verdict(fingerprint quarantine.Fingerprint) quarantine.Verdict
+	Verdict(fingerprint quarantine.Fingerprint) quarantine.Status
 	// Lost notes that the connection to a back end was lost with a request under way.
 	Lost(fingerprint quarantine.Fingerprint, backend identity.BackendID)
 	// Served notes that a request had a whole answer.
@@ -31,9 +31,9 @@
 // noCrashes knows of none.
 type noCrashes struct{}
 
-func (noCrashes) Verdict(quarantine.Fingerprint) quarantine.Verdict { return quarantine.Verdict{} }
-func (noCrashes) Lost(quarantine.Fingerprint, identity.BackendID)   {}
-func (noCrashes) Served(quarantine.Fingerprint)                     {}
+func (noCrashes) Verdict(quarantine.Fingerprint) quarantine.Status { return quarantine.Status{} }
+func (noCrashes) Lost(quarantine.Fingerprint, identity.BackendID)  {}
+func (noCrashes) Served(quarantine.Fingerprint)                    {}
 
 const (
 	// certaintyWait is how long it is waited at most until it is known whether a back end that
--- a/internal/relay/ending.go
+++ b/internal/relay/ending.go
@@ -34,7 +34,7 @@
 // retryAfter is when a request that has not run is to come back.
 func (r *run) retryAfter() time.Duration {
 	if r.verdict.Quarantined {
-		return r.verdict.Left
+		return r.verdict.Remaining
 	}
 	service := r.admitted.match.Service
 	if r.overloaded && !r.unconfirmed {
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -76,7 +76,7 @@
 	// limitGrant is what the present ticket was granted of its back end's limit; nil is nothing.
 	limitGrant *sharedlimit.Grant
 	// verdict is what was last believed of back ends that ended under the request.
-	verdict quarantine.Verdict
+	verdict quarantine.Status
 }
 
 func newRun(relay *Relay, admitted *admission, caller Caller) *run {
