--- a/internal/core/regionchoice/choice.go
+++ b/internal/core/regionchoice/choice.go
@@ -23,23 +23,23 @@
 // Region is what is known of a region.
 type Region struct {
 	backendpool.Room
-	// Own is set for the daemon's own region.
-	Own bool
+	// Local is set for the daemon's own region.
+	Local bool
 	// Known is set where the region's room is known.
 	Known bool
-	// ToldAt is when the room was told, and Outside how many daemons are outside the region.
-	ToldAt  time.Time
-	Outside int
-	// Lacking is how many of the request's shared tokens no back end there holds.
-	Lacking int
+	// ReportedAt is when the room was told, and Outside how many daemons are outside the region.
+	ReportedAt  time.Time
+	DaemonsOutside int
+	// UncachedTokens is how many of the request's shared tokens no back end there holds.
+	UncachedTokens int
 	// Free is how many more requests of this size there is room for.
 	Free float64
 }
 
 // least is what a request costs in the region at least: if nothing is under way there.
 func (r Region) least() float64 {
-	cost := readAgainFactor * float64(r.Lacking)
-	if !r.Own {
+	cost := readAgainFactor * float64(r.UncachedTokens)
+	if !r.Local {
 		cost += wayCost
 	}
 	return cost
@@ -54,10 +54,10 @@
 	return r.least() + (r.Reading+backendpool.RequestCost*r.InFlight)/r.Backends
 }
 
-// OwnIsLeast tells whether no other region can cost less than the own one, however little is
+// LocalIsCheapest tells whether no other region can cost less than the own one, however little is
 // under way there.
-func OwnIsLeast(regions []Region) bool {
-	at := slices.IndexFunc(regions, func(region Region) bool { return region.Own })
+func LocalIsCheapest(regions []Region) bool {
+	at := slices.IndexFunc(regions, func(region Region) bool { return region.Local })
 	return at >= 0 && !slices.ContainsFunc(regions, func(other Region) bool { return other.least() < regions[at].cost() })
 }
 
@@ -65,10 +65,10 @@
 // them only if it is known to have room; where there is no own one, all are. An own one without
 // room for a request that no limits hold back is the last.
 func Order(regions []Region, limited bool) []Region {
-	hasOwn := slices.ContainsFunc(regions, func(region Region) bool { return region.Own })
+	hasOwn := slices.ContainsFunc(regions, func(region Region) bool { return region.Local })
 	var found []Region
 	for _, region := range regions {
-		if region.Own || !hasOwn || (region.Known && region.Free > 0) {
+		if region.Local || !hasOwn || (region.Known && region.Free > 0) {
 			found = append(found, region)
 		}
 	}
--- a/internal/core/regionchoice/choice_test.go
+++ b/internal/core/regionchoice/choice_test.go
@@ -25,9 +25,9 @@
 	for number := range count {
 		region := Region{
 			Room:    backendpool.Room{Region: identity.Region(fmt.Sprint("r", number)), Backends: float64(rapid.IntRange(0, 30).Draw(t, "back ends"))},
-			Own:     own && number == 0,
+			Local:     own && number == 0,
 			Known:   rapid.Bool().Draw(t, "known"),
-			Lacking: rapid.IntRange(0, 8000).Draw(t, "lacking"),
+			UncachedTokens: rapid.IntRange(0, 8000).Draw(t, "lacking"),
 		}
 		region.Reading = float64(rapid.IntRange(0, 24000).Draw(t, "reading")) * region.Backends
 		region.InFlight = float64(rapid.IntRange(0, 24).Draw(t, "in flight")) * region.Backends
@@ -42,11 +42,11 @@
 func TestOrderKeepsToRoomAndCost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := drawRegions(t)
-		hasOwn := regions[0].Own
+		hasOwn := regions[0].Local
 		found := Order(regions, true)
 		expected := 0
 		for _, region := range regions {
-			may := region.Own || !hasOwn || (region.Known && region.Free > 0)
+			may := region.Local || !hasOwn || (region.Known && region.Free > 0)
 			if may {
 				expected++
 			}
@@ -61,11 +61,11 @@
 
 // oracleCost is what a request costs in a region, written out.
 func oracleCost(region Region) float64 {
-	cost := 2 * float64(region.Lacking)
+	cost := 2 * float64(region.UncachedTokens)
 	if region.Backends > 0 {
 		cost += region.Reading/region.Backends + 60*region.InFlight/region.Backends
 	}
-	if !region.Own {
+	if !region.Local {
 		cost += 3200
 	}
 	return cost
@@ -76,16 +76,16 @@
 func TestOwnIsLeastIsRight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := drawRegions(t)
-		if OwnIsLeast(regions) {
-			assert.Assert(t, Order(regions, true)[0].Own)
+		if LocalIsCheapest(regions) {
+			assert.Assert(t, Order(regions, true)[0].Local)
 		}
 	})
 }
 
 // TestOneRegionIsAlwaysFirst goes nowhere where there is nowhere to go.
 func TestOneRegionIsAlwaysFirst(t *testing.T) {
-	only := []Region{{Own: true, Lacking: 9000}}
-	assert.Assert(t, OwnIsLeast(only))
+	only := []Region{{Local: true, UncachedTokens: 9000}}
+	assert.Assert(t, LocalIsCheapest(only))
 	assert.Equal(t, len(Order(only, false)), 1)
 }
 
@@ -97,7 +97,7 @@
 		first   identity.Region
 	}{{0, "own"}, {wayCost - 1, "own"}, {wayCost + 1, "other"}} {
 		regions := []Region{
-			{Room: backendpool.Room{Region: "own", Backends: 1, Reading: example.waiting}, Own: true, Known: true},
+			{Room: backendpool.Room{Region: "own", Backends: 1, Reading: example.waiting}, Local: true, Known: true},
 			{Room: backendpool.Room{Region: "other", Backends: 1}, Known: true, Free: 1},
 		}
 		assert.Equal(t, Order(regions, true)[0].Region, example.first, "%v tokens wait", example.waiting)
@@ -108,7 +108,7 @@
 // taken, though the way costs more than waiting would.
 func TestUnlimitedRequestLeavesAFullRegion(t *testing.T) {
 	regions := []Region{
-		{Room: backendpool.Room{Region: "own", Backends: 2, Slots: 12, InFlight: 12}, Own: true, Known: true},
+		{Room: backendpool.Room{Region: "own", Backends: 2, Slots: 12, InFlight: 12}, Local: true, Known: true},
 		{Room: backendpool.Room{Region: "other", Backends: 2, Slots: 12}, Known: true, Free: 12},
 	}
 	assert.Equal(t, Order(regions, false)[0].Region, identity.Region("other"))
@@ -153,7 +153,7 @@
 func benchmarkOrder(b *testing.B, count int) {
 	regions := make([]Region, count)
 	for index := range regions {
-		regions[index] = Region{Room: backendpool.Room{Region: identity.Region(fmt.Sprint("r", index)), Backends: 30, Slots: 720, Reading: float64(index * 1000)}, Own: index == 0, Known: true, Free: 100, Lacking: 3780}
+		regions[index] = Region{Room: backendpool.Room{Region: identity.Region(fmt.Sprint("r", index)), Backends: 30, Slots: 720, Reading: float64(index * 1000)}, Local: index == 0, Known: true, Free: 100, UncachedTokens: 3780}
 	}
 	credit := NewCredit(rand.Float64)
 	for number := range b.N {
--- a/internal/relay/regions.go
+++ b/internal/relay/regions.go
@@ -27,14 +27,14 @@
 		return r.tryNear(ctx, query)
 	}
 	limited := query.Limits != (backendpool.Limits{})
-	triedOwn := limited && regionchoice.OwnIsLeast(regions)
+	triedOwn := limited && regionchoice.LocalIsCheapest(regions)
 	if triedOwn {
 		if ticket := r.tryNear(ctx, r.within(query, r.relay.options.Pool.Region())); ticket != nil {
 			return ticket
 		}
 	}
 	ordered := regionchoice.Order(r.withRooms(ctx, query, regions), limited)
-	if !slices.ContainsFunc(ordered, func(region regionchoice.Region) bool { return region.Own }) {
+	if !slices.ContainsFunc(ordered, func(region regionchoice.Region) bool { return region.Local }) {
 		return r.tryAway(ctx, query, ordered)
 	}
 	return r.tryInOrder(ctx, query, ordered, triedOwn)
@@ -45,13 +45,13 @@
 func (r *run) tryInOrder(ctx context.Context, query backendpool.Query, ordered []regionchoice.Region, triedOwn bool) *backendpool.Ticket {
 	shortage := r.shortage
 	for _, region := range ordered {
-		if (triedOwn && region.Own) || !r.relay.maySend(query, region) {
+		if (triedOwn && region.Local) || !r.relay.maySend(query, region) {
 			continue
 		}
 		if ticket := r.tryNear(ctx, r.within(query, region.Region)); ticket != nil {
 			return ticket
 		}
-		if region.Own {
+		if region.Local {
 			shortage = r.shortage
 		}
 	}
@@ -100,7 +100,7 @@
 	query.Limits = limits
 	r.limitQuery(&query)
 	for _, region := range regionchoice.Order(r.withRooms(ctx, query, r.regions(query)), true) {
-		if region.Own || !r.relay.maySend(query, region) {
+		if region.Local || !r.relay.maySend(query, region) {
 			continue
 		}
 		if ticket := r.tryNear(ctx, r.within(query, region.Region)); ticket != nil {
@@ -112,7 +112,7 @@
 
 // maySend takes this daemon's part of another region's room.
 func (r *Relay) maySend(query backendpool.Query, region regionchoice.Region) bool {
-	return region.Own || !region.Known || r.credit.Take(query.Service, region.Region, region.ToldAt, region.Free, region.Outside)
+	return region.Local || !region.Known || r.credit.Take(query.Service, region.Region, region.ReportedAt, region.Free, region.DaemonsOutside)
 }
 
 // regions are the regions whose back ends may get a query's request, without the rooms of
@@ -122,9 +122,9 @@
 	var found []regionchoice.Region
 	rooms := pool.Rooms(r.now(), query.Service)
 	for _, lacking := range pool.Lacking(r.now(), query) {
-		region := regionchoice.Region{Room: backendpool.Room{Region: lacking.Region}, Own: lacking.Region == pool.Region(), Lacking: lacking.Tokens}
+		region := regionchoice.Region{Room: backendpool.Room{Region: lacking.Region}, Local: lacking.Region == pool.Region(), UncachedTokens: lacking.Tokens}
 		for _, room := range rooms {
-			if room.Region == region.Region && region.Own {
+			if room.Region == region.Region && region.Local {
 				region.Room, region.Known = room, true
 				region.Free = room.Free(query.Limits, query.SharedTokens+query.OwnTokens)
 			}
@@ -143,8 +143,8 @@
 	for index := range regions {
 		region := &regions[index]
 		for _, room := range told {
-			if room.Region == region.Region && !region.Own {
-				region.Room, region.Known, region.ToldAt, region.Outside = room.Room, true, room.At, room.Outside
+			if room.Region == region.Region && !region.Local {
+				region.Room, region.Known, region.ReportedAt, region.DaemonsOutside = room.Room, true, room.At, room.Outside
 				region.Free = room.Free(query.Limits, query.SharedTokens+query.OwnTokens)
 			}
 		}
