--- a/internal/core/waitqueue/queue.go
+++ b/internal/core/waitqueue/queue.go
@@ -46,9 +46,9 @@
 	q.since = now
 }
 
-// Wait is how long a request with a number of others before it waits, by the mean and as
+// EstimateWait is how long a request with a number of others before it waits, by the mean and as
 // much more as is to be reckoned with: places become free at random times.
-func (q *Queue) Wait(now time.Time, ahead int) time.Duration {
+func (q *Queue) EstimateWait(now time.Time, ahead int) time.Duration {
 	interval := q.interval
 	if ahead > 0 {
 		interval = max(interval, now.Sub(q.since))
--- a/internal/core/waitqueue/queue_test.go
+++ b/internal/core/waitqueue/queue_test.go
@@ -28,7 +28,7 @@
 		}
 		longer, rounds := 0, 400
 		for range rounds {
-			expected, wait := queue.Wait(now, ahead), time.Duration(0)
+			expected, wait := queue.EstimateWait(now, ahead), time.Duration(0)
 			for range ahead + 1 {
 				took := next()
 				wait += took
@@ -47,12 +47,12 @@
 func TestNoGrantsMakeWaitsLonger(t *testing.T) {
 	var queue Queue
 	queue.Begin(start)
-	assert.Equal(t, queue.Wait(start, 0), time.Duration(0), "nothing is known yet")
+	assert.Equal(t, queue.EstimateWait(start, 0), time.Duration(0), "nothing is known yet")
 	queue.Granted(start.Add(10 * time.Millisecond))
 	soon, later := start.Add(20*time.Millisecond), start.Add(time.Second)
-	assert.Assert(t, queue.Wait(soon, 1) < 100*time.Millisecond)
-	assert.Assert(t, queue.Wait(later, 1) > time.Second)
-	assert.Assert(t, queue.Wait(later, 0) < 100*time.Millisecond, "nobody waits who shows that none is free")
+	assert.Assert(t, queue.EstimateWait(soon, 1) < 100*time.Millisecond)
+	assert.Assert(t, queue.EstimateWait(later, 1) > time.Second)
+	assert.Assert(t, queue.EstimateWait(later, 0) < 100*time.Millisecond, "nobody waits who shows that none is free")
 }
 
 // TestRetryAfterGrowsWithTheOverload refuses requests for some seconds.
--- a/internal/relay/waiting.go
+++ b/internal/relay/waiting.go
@@ -106,7 +106,7 @@
 			ahead++
 		}
 	}
-	return l.queue(service).Wait(now, ahead)
+	return l.queue(service).EstimateWait(now, ahead)
 }
 
 // retryAfter notes that a request is refused for want of a place, and says when it is to
