--- a/internal/core/quarantine/fingerprint.go
+++ b/internal/core/quarantine/fingerprint.go
@@ -1,6 +1,6 @@
-// Package quarantine decides which requests no back end gets any more, since several that
-// ran them have ended (poison requests, also called queries of death). It is pure: each call
-// carries its time.
+// Package quarantine detects poison requests (queries of death): requests under which several
+// backends have crashed and which must not be dispatched any more. It performs no I/O and reads no
+// clock; callers pass the current time.
 package quarantine
 
 import (
@@ -9,15 +9,15 @@
 	"strconv"
 )
 
-// Fingerprint is the same for all tries of a request, whichever daemon they come to, and
-// differs from that of any other request: a hash over who asks for what.
+// Fingerprint identifies a request by a hash of its tenant, method, host, target and body. All
+// retries of a request have the same fingerprint, on whichever daemon they arrive.
 type Fingerprint uint64
 
-// String gives the fingerprint as logs have it.
+// String returns the fingerprint in hexadecimal, as it appears in logs.
 func (f Fingerprint) String() string { return strconv.FormatUint(uint64(f), 16) }
 
-// FingerprintOf hashes what makes requests the same. A cryptographic hash, so that nobody can
-// make a request that is taken for somebody else's.
+// FingerprintOf computes a request's fingerprint. It uses a cryptographic hash so that nobody can
+// forge a request that collides with somebody else's.
 func FingerprintOf(tenant, method, host, target string, body []byte) Fingerprint {
 	hash := sha256.New()
 	var length [8]byte
--- a/internal/core/quarantine/fingerprint_test.go
+++ b/internal/core/quarantine/fingerprint_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFingerprintTellsRequestsApart changes one field at a time, and moves bytes from one
-// field to the next.
+// TestFingerprintTellsRequestsApart changes one field at a time, and moves bytes across the
+// boundary between two fields.
 func TestFingerprintTellsRequestsApart(t *testing.T) {
 	first := FingerprintOf("t", "POST", "h", "/a", []byte("b"))
 	assert.Equal(t, first, FingerprintOf("t", "POST", "h", "/a", []byte("b")))
@@ -26,8 +26,8 @@
 	}
 }
 
-// BenchmarkFingerprint takes about a microsecond for a body of 2 KB: at 100 requests a second
-// and daemon, 0.01% of a core.
+// BenchmarkFingerprint measures a 2 KB body: about 1 us, which at 100 requests a second and daemon
+// is 0.01% of a core.
 func BenchmarkFingerprint(b *testing.B) {
 	body := make([]byte, 2<<10)
 	for b.Loop() {
--- a/internal/core/quarantine/tracker.go
+++ b/internal/core/quarantine/tracker.go
@@ -8,133 +8,136 @@
 )
 
 const (
-	// CrashLimit is under how many back ends' ends a request is quarantined. One end says
-	// little: whatever else was under way there was cut as well, up to 16 requests. A request
-	// that was merely there is seldom there at a second end, since it is served in between: while
-	// a quarter of 18 back ends ended six times in a day, none was quarantined, with two as with
-	// three (six seeds). Each end more cuts some four other requests.
+	// CrashLimit is the number of backends that must have crashed under a request before it is
+	// quarantined. One crash is weak evidence, since up to 16 requests are in flight on a backend when
+	// it crashes. An innocent request is rarely present at a second crash, because it is usually
+	// served in between: with a quarter of 18 backends crashing six times in a day, none was
+	// quarantined, whether the limit was two or three (six seeds). Each further crash fails about four
+	// other requests.
 	CrashLimit = 2
-	// EvidenceTTL is how long evidence counts, so that a quarantine ends this long after the last
-	// end but one: a request that ends whoever runs it then ends two back ends in ten minutes
-	// at most, and one that was quarantined wrongly, or that the back ends have learnt to
-	// stand, is served again without an operator.
+	// EvidenceTTL is how long a crash counts as evidence. A quarantine ends this long after the
+	// second-newest crash, so a request that crashes every backend crashes at most two in ten minutes,
+	// and one that was quarantined by mistake, or that a new version of the backends handles, is
+	// served again without an operator.
 	EvidenceTTL = 10 * time.Minute
-	// maximumRecords bounds the requests that are remembered, some 200 bytes each. A zone that
-	// is lost with 466 back ends takes some 9,300 requests with it; the oldest evidence goes
-	// first.
-	maximumRecords = 16 << 10
-	// maximumCrashes bounds the ends that are remembered of one request.
-	maximumCrashes = 8
+	// maxRecords bounds the number of tracked requests, at about 200 bytes each. The loss of a zone
+	// with 466 backends affects about 9,300 requests. The oldest evidence is evicted first.
+	maxRecords = 16 << 10
+	// maxCrashesPerRequest bounds the crashes stored for one request.
+	maxCrashesPerRequest = 8
 )
 
-// Crash says that a back end ended while it may have been running a request.
+// Crash records that a backend crashed while it may have been running a request.
 type Crash struct {
 	Fingerprint Fingerprint
-	// Backend is the hash of the back end's ID.
+	// Backend is the hash of the backend's ID.
 	Backend uint64
 	At      time.Time
 }
 
-// Status is what is believed of a request.
+// Status is the current assessment of a request.
 type Status struct {
-	// Crashes is how many back ends have ended under it.
+	// Crashes is the number of backends that crashed under the request.
 	Crashes int
-	// Quarantined requests are given to no back end, and Left is for how long still.
+	// Quarantined requests are not dispatched to any backend. Remaining is the time until the
+	// quarantine ends.
 	Quarantined bool
-	Remaining        time.Duration
-	// Uncertain requests would be quarantined if all back ends had ended of which that is
-	// being looked into. A ledger knows of none.
+	Remaining   time.Duration
+	// Uncertain is set if the request would be quarantined once the crashes still under investigation
+	// are confirmed. A Tracker never sets it.
 	Uncertain bool
 }
 
-// Tracker counts the back ends that ended under each request. Make it with NewLedger; it isn't
-// safe for use by several goroutines.
+// Tracker counts the backends that crashed under each request. Create it with NewTracker. It is
+// not safe for concurrent use.
 type Tracker struct {
 	records map[Fingerprint]*record
 }
 
-// record is what is remembered of one request.
+// record is the evidence about one request.
 type record struct {
-	// crashes are ordered by their time.
+	// crashes are sorted by time, oldest first.
 	crashes []Crash
-	// acquittedAt is when the request last had a whole answer: no earlier evidence counts.
-	acquittedAt time.Time
+	// succeededAt is the time of the latest complete response. Crashes up to that time do not count.
+	succeededAt time.Time
 }
 
-// NewTracker makes a Ledger without evidence.
+// NewTracker returns a Tracker without evidence.
 func NewTracker() *Tracker { return &Tracker{records: map[Fingerprint]*record{}} }
 
-// Add takes evidence in. It returns false if it was known, or counts for nothing.
-func (l *Tracker) Add(now time.Time, crash Crash) bool {
+// Add records a crash. It returns false if the crash was already known, has expired, or precedes a
+// successful response.
+func (t *Tracker) Add(now time.Time, crash Crash) bool {
 	if now.Sub(crash.At) >= EvidenceTTL {
 		return false
 	}
-	found := l.records[crash.Fingerprint]
+	found := t.records[crash.Fingerprint]
 	if found == nil {
-		l.makeRoom(now)
+		t.evictOldest(now)
 		found = &record{}
-		l.records[crash.Fingerprint] = found
+		t.records[crash.Fingerprint] = found
 	}
 	return found.add(now, crash)
 }
 
-// add takes evidence in. An end keeps the time at which it was first heard of: what daemons send
-// each other again and again is older by its way each time, and would never end otherwise.
+// add records a crash, keeping the time at which it was first reported. Daemons send crashes to
+// each other repeatedly, and the time derived from a received age is later by the network delay
+// each time, so taking the newest time would extend a quarantine forever.
 func (r *record) add(now time.Time, crash Crash) bool {
 	r.crashes = slices.DeleteFunc(r.crashes, func(each Crash) bool { return now.Sub(each.At) >= EvidenceTTL })
 	known := slices.ContainsFunc(r.crashes, func(each Crash) bool { return each.Backend == crash.Backend })
-	if known || !crash.At.After(r.acquittedAt) {
+	if known || !crash.At.After(r.succeededAt) {
 		return false
 	}
 	r.crashes = append(r.crashes, crash)
 	slices.SortStableFunc(r.crashes, byTime)
-	r.crashes = r.crashes[max(0, len(r.crashes)-maximumCrashes):]
+	r.crashes = r.crashes[max(0, len(r.crashes)-maxCrashesPerRequest):]
 	return true
 }
 
 func byTime(left, right Crash) int { return left.At.Compare(right.At) }
 
-// RecordSuccess notes that a request had a whole answer at a time, so that the back end that ran it
-// did not end of it. It returns false if nothing was held against the request.
-func (l *Tracker) RecordSuccess(fingerprint Fingerprint, at time.Time) bool {
-	found := l.records[fingerprint]
-	if found == nil || !at.After(found.acquittedAt) {
+// RecordSuccess records that a request got a complete response at a time, so earlier crashes were
+// not caused by it. It returns false if there was no evidence to discard.
+func (t *Tracker) RecordSuccess(fingerprint Fingerprint, at time.Time) bool {
+	found := t.records[fingerprint]
+	if found == nil || !at.After(found.succeededAt) {
 		return false
 	}
 	before := len(found.crashes)
-	found.acquittedAt = at
+	found.succeededAt = at
 	found.crashes = slices.DeleteFunc(found.crashes, func(each Crash) bool { return !each.At.After(at) })
 	return len(found.crashes) < before
 }
 
-// Status tells what is believed of a request.
-func (l *Tracker) Status(now time.Time, fingerprint Fingerprint) Status {
-	found := l.records[fingerprint]
+// Status returns the current assessment of a request.
+func (t *Tracker) Status(now time.Time, fingerprint Fingerprint) Status {
+	found := t.records[fingerprint]
 	if found == nil {
 		return Status{}
 	}
-	return found.verdict(now)
+	return found.status(now)
 }
 
-func (r *record) verdict(now time.Time) Status {
+func (r *record) status(now time.Time) Status {
 	first := slices.IndexFunc(r.crashes, func(each Crash) bool { return now.Sub(each.At) < EvidenceTTL })
 	if first < 0 {
 		return Status{}
 	}
 	counted := r.crashes[first:]
-	verdict := Status{Crashes: len(counted), Quarantined: len(counted) >= CrashLimit}
-	if verdict.Quarantined {
-		verdict.Remaining = EvidenceTTL - now.Sub(counted[len(counted)-CrashLimit].At)
+	status := Status{Crashes: len(counted), Quarantined: len(counted) >= CrashLimit}
+	if status.Quarantined {
+		status.Remaining = EvidenceTTL - now.Sub(counted[len(counted)-CrashLimit].At)
 	}
-	return verdict
+	return status
 }
 
-// Quarantined returns the evidence against the requests that are quarantined, the newest
-// requests first, and of no more of them than most.
-func (l *Tracker) Quarantined(now time.Time, most int) []Crash {
+// Quarantined returns the evidence that quarantines requests, for at most the given number of
+// requests, those with the newest evidence first.
+func (t *Tracker) Quarantined(now time.Time, most int) []Crash {
 	var held []*record
-	for _, each := range l.records {
-		if each.verdict(now).Quarantined {
+	for _, each := range t.records {
+		if each.status(now).Quarantined {
 			held = append(held, each)
 		}
 	}
@@ -148,30 +151,30 @@
 	return evidence
 }
 
-// newest is the time of the newest evidence of any kind.
+// newest returns the time of the latest crash, or of the latest success if there are no crashes.
 func (r *record) newest() time.Time {
 	if len(r.crashes) == 0 {
-		return r.acquittedAt
+		return r.succeededAt
 	}
 	return r.crashes[len(r.crashes)-1].At
 }
 
-// Sweep forgets what counts no longer.
-func (l *Tracker) Sweep(now time.Time) {
-	maps.DeleteFunc(l.records, func(_ Fingerprint, each *record) bool { return now.Sub(each.newest()) >= EvidenceTTL })
+// Sweep removes expired records.
+func (t *Tracker) Sweep(now time.Time) {
+	maps.DeleteFunc(t.records, func(_ Fingerprint, each *record) bool { return now.Sub(each.newest()) >= EvidenceTTL })
 }
 
-// makeRoom forgets the oldest evidence where there is too much, and a tenth at once, so that
-// it is seldom sorted.
-func (l *Tracker) makeRoom(now time.Time) {
-	if len(l.records) < maximumRecords {
+// evictOldest makes space for a new record when the tracker is full. It drops a tenth of the
+// records at once, so that the sort is rarely needed.
+func (t *Tracker) evictOldest(now time.Time) {
+	if len(t.records) < maxRecords {
 		return
 	}
-	l.Sweep(now)
-	oldest := slices.SortedFunc(maps.Keys(l.records), func(left, right Fingerprint) int {
-		return l.records[left].newest().Compare(l.records[right].newest())
+	t.Sweep(now)
+	oldest := slices.SortedFunc(maps.Keys(t.records), func(left, right Fingerprint) int {
+		return t.records[left].newest().Compare(t.records[right].newest())
 	})
-	for _, fingerprint := range oldest[:max(0, len(oldest)-maximumRecords*9/10)] {
-		delete(l.records, fingerprint)
+	for _, fingerprint := range oldest[:max(0, len(oldest)-maxRecords*9/10)] {
+		delete(t.records, fingerprint)
 	}
 }
--- a/internal/core/quarantine/tracker_test.go
+++ b/internal/core/quarantine/tracker_test.go
@@ -11,36 +11,37 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// end is the end of a back end under a request.
-type end struct {
+// crashKey identifies the crash of one backend under one request.
+type crashKey struct {
 	fingerprint Fingerprint
 	backend     uint64
 }
 
-// oracle has the time at which it first heard of each end, as long as that counts.
+// oracle is a reference model. It keeps the time at which each crash was first reported, for as
+// long as the crash counts.
 type oracle struct {
-	ended     map[end]time.Time
-	acquitted map[Fingerprint]time.Time
+	crashedAt   map[crashKey]time.Time
+	succeededAt map[Fingerprint]time.Time
 }
 
-// add hears of an end.
+// add records a crash.
 func (o *oracle) add(now time.Time, crash Crash) {
-	key := end{crash.Fingerprint, crash.Backend}
-	before, known := o.ended[key]
+	key := crashKey{crash.Fingerprint, crash.Backend}
+	before, known := o.crashedAt[key]
 	if known && o.counts(now, key, before) || !o.counts(now, key, crash.At) {
 		return
 	}
-	o.ended[key] = crash.At
+	o.crashedAt[key] = crash.At
 }
 
-func (o *oracle) counts(now time.Time, key end, at time.Time) bool {
-	return now.Sub(at) < EvidenceTTL && at.After(o.acquitted[key.fingerprint])
+func (o *oracle) counts(now time.Time, key crashKey, at time.Time) bool {
+	return now.Sub(at) < EvidenceTTL && at.After(o.succeededAt[key.fingerprint])
 }
 
-// ends are the times at which back ends ended under a request, as far as they count.
-func (o *oracle) ends(now time.Time, fingerprint Fingerprint) []time.Time {
+// crashTimes returns the times of the crashes that count against a request, oldest first.
+func (o *oracle) crashTimes(now time.Time, fingerprint Fingerprint) []time.Time {
 	return slices.SortedFunc(func(yield func(time.Time) bool) {
-		for key, at := range o.ended {
+		for key, at := range o.crashedAt {
 			if key.fingerprint == fingerprint && o.counts(now, key, at) && !yield(at) {
 				return
 			}
@@ -48,11 +49,12 @@
 	}, time.Time.Compare)
 }
 
-// TestVerdictsAreThoseOfAllEvidence draws ends, acquittals and pauses, evidence that comes late,
-// twice and out of order, and compares each verdict with one on all that was ever told.
-func TestVerdictsAreThoseOfAllEvidence(t *testing.T) {
+// TestStatusMatchesModel draws crashes, successes and pauses, with evidence that arrives late,
+// twice and out of order, and compares each status with that of a reference model that sees the
+// full history.
+func TestStatusMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ledger, told := NewTracker(), &oracle{ended: map[end]time.Time{}, acquitted: map[Fingerprint]time.Time{}}
+		tracker, model := NewTracker(), &oracle{crashedAt: map[crashKey]time.Time{}, succeededAt: map[Fingerprint]time.Time{}}
 		now := start
 		fingerprints := rapid.SampledFrom([]Fingerprint{1, 2, 3})
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -60,33 +62,34 @@
 			late := time.Duration(rapid.IntRange(0, 900).Draw(t, "late")) * time.Second
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
-				if at := now.Add(-late); at.After(told.acquitted[fingerprint]) && ledger.records[fingerprint] != nil {
-					ledger.RecordSuccess(fingerprint, at)
-					told.acquitted[fingerprint] = at
+				if at := now.Add(-late); at.After(model.succeededAt[fingerprint]) && tracker.records[fingerprint] != nil {
+					tracker.RecordSuccess(fingerprint, at)
+					model.succeededAt[fingerprint] = at
 				}
 			case 1:
 				now = now.Add(late)
 			case 2:
-				ledger.Sweep(now)
+				tracker.Sweep(now)
 			default:
 				crash := Crash{Fingerprint: fingerprint, Backend: rapid.Uint64Range(1, 6).Draw(t, "backend"), At: now.Add(-late)}
-				ledger.Add(now, crash)
-				told.add(now, crash)
+				tracker.Add(now, crash)
+				model.add(now, crash)
 			}
 			for _, each := range []Fingerprint{1, 2, 3} {
-				ends := told.ends(now, each)
-				want := Status{Crashes: len(ends), Quarantined: len(ends) >= CrashLimit}
+				times := model.crashTimes(now, each)
+				want := Status{Crashes: len(times), Quarantined: len(times) >= CrashLimit}
 				if want.Quarantined {
-					want.Remaining = EvidenceTTL - now.Sub(ends[len(ends)-CrashLimit])
+					want.Remaining = EvidenceTTL - now.Sub(times[len(times)-CrashLimit])
 				}
-				assert.DeepEqual(t, ledger.Status(now, each), want)
+				assert.DeepEqual(t, tracker.Status(now, each), want)
 			}
 		}
 	})
 }
 
-// TestEvidenceOfQuarantinesCarriesThem gives what one ledger tells to another.
-func TestEvidenceOfQuarantinesCarriesThem(t *testing.T) {
+// TestQuarantinedEvidenceTransfers passes the evidence of one tracker to another and expects the
+// same quarantines there.
+func TestQuarantinedEvidenceTransfers(t *testing.T) {
 	first, second := NewTracker(), NewTracker()
 	for index := range 5 {
 		first.Add(start, Crash{Fingerprint: 1, Backend: uint64(index), At: start.Add(time.Duration(index) * time.Second)})
@@ -102,20 +105,21 @@
 	assert.Equal(t, len(first.Quarantined(now, 0)), 0)
 }
 
-// TestLedgerIsBounded takes evidence against more requests than it holds: the newest stay.
-func TestLedgerIsBounded(t *testing.T) {
-	ledger := NewTracker()
-	for index := range 3 * maximumRecords / 2 {
+// TestTrackerIsBounded adds evidence against more requests than a tracker stores. The newest must
+// be kept.
+func TestTrackerIsBounded(t *testing.T) {
+	tracker := NewTracker()
+	for index := range 3 * maxRecords / 2 {
 		now := start.Add(time.Duration(index) * time.Millisecond)
-		ledger.Add(now, Crash{Fingerprint: Fingerprint(index), Backend: 1, At: now})
-		assert.Assert(t, len(ledger.records) <= maximumRecords)
-		assert.Equal(t, ledger.Status(now, Fingerprint(index)).Crashes, 1)
+		tracker.Add(now, Crash{Fingerprint: Fingerprint(index), Backend: 1, At: now})
+		assert.Assert(t, len(tracker.records) <= maxRecords)
+		assert.Equal(t, tracker.Status(now, Fingerprint(index)).Crashes, 1)
 	}
 }
 
-// TestRepeatedEvidenceDoesNotRenew sends evidence to and fro, a little late each time, as daemons
-// do: the quarantine ends when it would have.
-func TestRepeatedEvidenceDoesNotRenew(t *testing.T) {
+// TestRepeatedEvidenceDoesNotExtendQuarantine sends evidence back and forth between two trackers
+// with a delay each time, as daemons do. The quarantine must end as if it had been sent once.
+func TestRepeatedEvidenceDoesNotExtendQuarantine(t *testing.T) {
 	first, second := NewTracker(), NewTracker()
 	for backend := range uint64(CrashLimit) {
 		first.Add(start, Crash{Fingerprint: 1, Backend: backend + 1, At: start})
@@ -124,7 +128,7 @@
 	for now.Sub(start) < EvidenceTTL+time.Minute {
 		for _, way := range [][2]*Tracker{{first, second}, {second, first}} {
 			for _, crash := range way[0].Quarantined(now, 1) {
-				crash.At = crash.At.Add(500 * time.Millisecond) // its age was of when it was sent
+				crash.At = crash.At.Add(500 * time.Millisecond) // the age was computed when it was sent
 				way[1].Add(now.Add(500*time.Millisecond), crash)
 			}
 		}
