--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -1,62 +1,61 @@
-// Package retry limits retries to a share of the requests, so that failing back
-// ends do not multiply the load. It is pure: each call carries the time.
+// Package retry limits retries to a fraction of the requests, so that failing backends do not
+// cause a retry storm. It reads no clock; callers pass the current time.
 package retry
 
 import "time"
 
-// slots is the number of parts that the window is counted in.
+// slots is the number of buckets into which the sliding window is divided.
 const slots = 10
 
-// Limits says how many retries a Budget allows.
+// Limits configures a Budget.
 type Limits struct {
-	// Window is the time over which requests and retries are counted.
+	// Window is the period over which requests and retries are counted.
 	Window time.Duration
-	// Ratio is the share of the window's requests that may be retries.
+	// Ratio is the number of retries allowed per request in the window.
 	Ratio float64
-	// Floor is the number of retries that a window always allows.
+	// Floor is the number of retries allowed per window regardless of the number of requests.
 	Floor int
 }
 
-// DefaultLimits allow one retry for five requests of the last ten seconds, and
-// always ten.
+// DefaultLimits allows one retry per five requests of the last ten seconds, plus ten retries
+// regardless of load.
 func DefaultLimits() Limits {
 	return Limits{Window: 10 * time.Second, Ratio: 0.2, Floor: 10}
 }
 
-// count is what happened in one slot of the window.
+// count holds the totals of one slot of the window.
 type count struct {
 	slot     int64
 	requests int
 	retries  int
 }
 
-// Budget counts requests and retries over a sliding window. It is not safe for
-// use by several goroutines at once.
+// Budget counts requests and retries over a sliding window. It is not safe for concurrent use.
 type Budget struct {
 	limits Limits
-	// origin is the time of the first call. Slots count from it, so that steps of
-	// the time of day change nothing.
+	// origin is the time of the first call. Slots are numbered from it, so that changes of the wall
+	// clock have no effect.
 	origin time.Time
 	counts [slots]count
 }
 
-// NewBudget makes an empty budget.
+// NewBudget returns an empty budget.
 func NewBudget(limits Limits) *Budget {
 	return &Budget{limits: limits}
 }
 
-// SetFloor changes the number of retries that a window always allows.
+// SetFloor sets the number of retries allowed per window regardless of the number of requests.
 func (b *Budget) SetFloor(floor int) {
 	b.limits.Floor = floor
 }
 
-// Request counts a request's first attempt.
+// Request records the first attempt of a request.
 func (b *Budget) Request(now time.Time) {
 	b.current(now).requests++
 }
 
-// TryRetry takes one retry from the budget. It returns false, and takes nothing,
-// when the budget is spent.
+// TryRetry consumes one retry from the budget. It returns false and consumes nothing if the budget
+// is exhausted.
 func (b *Budget) TryRetry(now time.Time) bool {
 	requests, retries := b.totals(now)
 	allowed := b.limits.Floor + int(b.limits.Ratio*float64(requests))
@@ -72,11 +71,11 @@
 		b.origin = now
 	}
 	width := max(b.limits.Window/slots, 1)
-	// Slots count from 1, so that an empty count is never taken for the present.
+	// Slots are numbered from 1, so that a zero count is never mistaken for the current slot.
 	return int64(now.Sub(b.origin)/width) + 1
 }
 
-// current returns the count of the present slot, emptied if it was of an older turn.
+// current returns the count of the current slot, reset if it belongs to an earlier window.
 func (b *Budget) current(now time.Time) *count {
 	slot := b.slotAt(now)
 	found := &b.counts[slot%slots]
--- a/internal/core/retry/budget_test.go
+++ b/internal/core/retry/budget_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestBudgetNeverExceedsItsShare lets every request fail at once and retry as
-// often as it may; the oracle counts what fell into the last window.
-func TestBudgetNeverExceedsItsShare(t *testing.T) {
+// TestBudgetStaysWithinRatio retries as often as the budget permits and checks the retries of each
+// window against a count of the events in it.
+func TestBudgetStaysWithinRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
 			Window: time.Second,
@@ -29,7 +29,7 @@
 			if !budget.TryRetry(now) {
 				continue
 			}
-			// The slots never reach further back than the window.
+			// The slots never cover more than the window.
 			allowed := limits.Floor + int(limits.Ratio*float64(within(requests, now, limits.Window)))
 			retries = append(retries, now)
 			assert.Assert(t, within(retries, now, limits.Window*(slots-1)/slots) <= allowed)
@@ -37,7 +37,7 @@
 	})
 }
 
-// TestBudgetRecovers allows the floor again after a window without retries.
+// TestBudgetRecovers checks that the floor is available again after a window without retries.
 func TestBudgetRecovers(t *testing.T) {
 	budget := NewBudget(Limits{Window: time.Second, Floor: 1})
 	now := time.Unix(1_000_000, 0)
--- a/internal/core/retry/suspension_test.go
+++ b/internal/core/retry/suspension_test.go
@@ -9,9 +9,10 @@
 	"github.com/lotusward/lotusward/internal/clock/clocktest"
 )
 
-// TestSuspendedBudgetForgetsItsRequests suspends the machine for the whole window: requests of
-// before allow no retries any more. By a clock that stands still they would.
-func TestSuspendedBudgetForgetsItsRequests(t *testing.T) {
+// TestSuspendExpiresBudget suspends the machine for longer than the window. Requests from before
+// the suspension must not permit retries afterwards. With a clock that stops during suspension
+// they would.
+func TestSuspendExpiresBudget(t *testing.T) {
 	limits := Limits{Window: 10 * time.Second, Ratio: 0.2}
 	for _, counts := range []bool{true, false} {
 		machine := clocktest.New()
