--- a/internal/core/regionchoice/choice.go
+++ b/internal/core/regionchoice/choice.go
@@ -1,5 +1,5 @@
-// Package regionchoice decides to which region a request goes: it compares what reading and
-// waiting cost in each, and what the way costs. It is pure.
+// Package regionchoice chooses the region that serves a request by comparing the cost of prompt
+// processing, queueing and cross-region transfer. It performs no I/O and reads no clock.
 package regionchoice
 
 import (
@@ -10,60 +10,62 @@
 	"github.com/lotusward/lotusward/internal/core/backendpool"
 )
 
-// Costs. The unit is the time that a back end takes to read one token of a prompt, 25 us.
+// Costs, in units of the time a backend takes to process one prompt token, 25 us.
 const (
-	// wayCost is the cost of the way to another region and back, with the question what is under
-	// way there: 80 ms.
-	wayCost = 3200
-	// readAgainFactor is the cost of reading a token that another region holds: it takes time
-	// from a token that no region holds.
-	readAgainFactor = 2
+	// crossRegionCost is the cost of a round trip to another region, including the query for its
+	// current load: 80 ms.
+	crossRegionCost = 3200
+	// rereadFactor is the cost of processing a token here that another region has cached, since it
+	// takes capacity from tokens that no region has cached.
+	rereadFactor = 2
 )
 
-// Region is what is known of a region.
+// Region is the known state of a region.
 type Region struct {
 	backendpool.Room
 	// Local is set for the daemon's own region.
 	Local bool
-	// Known is set where the region's room is known.
+	// Known is set if the region has reported its capacity.
 	Known bool
-	// ReportedAt is when the room was told, and Outside how many daemons are outside the region.
-	ReportedAt  time.Time
+	// ReportedAt is when the region reported its capacity. DaemonsOutside is the number of daemons in
+	// other regions.
+	ReportedAt     time.Time
 	DaemonsOutside int
-	// UncachedTokens is how many of the request's shared tokens no back end there holds.
+	// UncachedTokens is the number of the request's shared prompt tokens that no backend in the region
+	// has cached.
 	UncachedTokens int
-	// Free is how many more requests of this size there is room for.
+	// Free is the number of further requests of this size that the region can accept.
 	Free float64
 }
 
-// least is what a request costs in the region at least: if nothing is under way there.
-func (r Region) least() float64 {
-	cost := readAgainFactor * float64(r.UncachedTokens)
+// minimumCost is the cost of a request in the region if nothing else is in flight there.
+func (r Region) minimumCost() float64 {
+	cost := rereadFactor * float64(r.UncachedTokens)
 	if !r.Local {
-		cost += wayCost
+		cost += crossRegionCost
 	}
 	return cost
 }
 
-// cost is what a request costs in the region: the least, and the mean of what is under way at a
-// back end.
+// cost is the cost of a request in the region: the minimum plus the mean load in flight per
+// backend.
 func (r Region) cost() float64 {
 	if r.Backends == 0 {
-		return r.least()
+		return r.minimumCost()
 	}
-	return r.least() + (r.Reading+backendpool.RequestCost*r.InFlight)/r.Backends
+	return r.minimumCost() + (r.Reading+backendpool.RequestCost*r.InFlight)/r.Backends
 }
 
-// LocalIsCheapest tells whether no other region can cost less than the own one, however little is
-// under way there.
+// LocalIsCheapest reports whether no other region can be cheaper than the local one, whatever the
+// load there.
 func LocalIsCheapest(regions []Region) bool {
 	at := slices.IndexFunc(regions, func(region Region) bool { return region.Local })
-	return at >= 0 && !slices.ContainsFunc(regions, func(other Region) bool { return other.least() < regions[at].cost() })
+	return at >= 0 && !slices.ContainsFunc(regions, func(other Region) bool { return other.minimumCost() < regions[at].cost() })
 }
 
-// Order returns the regions to which a request may go, the best first. Another region is among
-// them only if it is known to have room; where there is no own one, all are. An own one without
-// room for a request that no limits hold back is the last.
+// Order returns the regions that may serve a request, the best first. Remote regions are included
+// only if they have reported free capacity, or if there is no local region. For a request that no
+// limit holds back, a full local region comes last.
 func Order(regions []Region, limited bool) []Region {
 	hasOwn := slices.ContainsFunc(regions, func(region Region) bool { return region.Local })
 	var found []Region
@@ -81,10 +83,10 @@
 	return found
 }
 
-// isFull tells whether the region is known to have no room.
+// isFull reports whether the region has reported that it has no free capacity.
 func (r Region) isFull() bool { return r.Known && r.Free == 0 }
 
-// boolCompare puts false first.
+// boolCompare orders false before true.
 func boolCompare(left, right bool) int {
 	switch {
 	case left == right:
--- a/internal/core/regionchoice/choice_test.go
+++ b/internal/core/regionchoice/choice_test.go
@@ -17,16 +17,16 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// drawRegions draws 1, 2 or 6 regions; the first is the own one, if there is one.
+// drawRegions draws 1, 2 or 6 regions. The first is the local one, if there is any.
 func drawRegions(t *rapid.T) []Region {
 	count := rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "regions")
 	own := rapid.IntRange(0, 9).Draw(t, "own") > 0
 	var regions []Region
 	for number := range count {
 		region := Region{
-			Room:    backendpool.Room{Region: identity.Region(fmt.Sprint("r", number)), Backends: float64(rapid.IntRange(0, 30).Draw(t, "back ends"))},
-			Local:     own && number == 0,
-			Known:   rapid.Bool().Draw(t, "known"),
+			Room:           backendpool.Room{Region: identity.Region(fmt.Sprint("r", number)), Backends: float64(rapid.IntRange(0, 30).Draw(t, "back ends"))},
+			Local:          own && number == 0,
+			Known:          rapid.Bool().Draw(t, "known"),
 			UncachedTokens: rapid.IntRange(0, 8000).Draw(t, "lacking"),
 		}
 		region.Reading = float64(rapid.IntRange(0, 24000).Draw(t, "reading")) * region.Backends
@@ -37,9 +37,9 @@
 	return regions
 }
 
-// TestOrderKeepsToRoomAndCost compares the order with an oracle: other regions are in it only
-// with known room or where there is no own one, and each next one costs as much or more.
-func TestOrderKeepsToRoomAndCost(t *testing.T) {
+// TestOrderByRoomAndCost compares Order with a reference model: remote regions appear only with
+// known free capacity or if there is no local region, and costs are in ascending order.
+func TestOrderByRoomAndCost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := drawRegions(t)
 		hasOwn := regions[0].Local
@@ -59,7 +59,7 @@
 	})
 }
 
-// oracleCost is what a request costs in a region, written out.
+// oracleCost is an independent implementation of Region.cost.
 func oracleCost(region Region) float64 {
 	cost := 2 * float64(region.UncachedTokens)
 	if region.Backends > 0 {
@@ -71,9 +71,9 @@
 	return cost
 }
 
-// TestOwnIsLeastIsRight lets what is under way elsewhere be anything: where the own region is
-// said to be the least it is the first.
-func TestOwnIsLeastIsRight(t *testing.T) {
+// TestLocalIsCheapestAgreesWithOrder checks that, whatever the load elsewhere, the local region is
+// first in the order whenever LocalIsCheapest is true.
+func TestLocalIsCheapestAgreesWithOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := drawRegions(t)
 		if LocalIsCheapest(regions) {
@@ -82,20 +82,20 @@
 	})
 }
 
-// TestOneRegionIsAlwaysFirst goes nowhere where there is nowhere to go.
-func TestOneRegionIsAlwaysFirst(t *testing.T) {
+// TestSingleRegionIsAlwaysChosen checks that a request stays local if there is only one region.
+func TestSingleRegionIsAlwaysChosen(t *testing.T) {
 	only := []Region{{Local: true, UncachedTokens: 9000}}
 	assert.Assert(t, LocalIsCheapest(only))
 	assert.Equal(t, len(Order(only, false)), 1)
 }
 
-// TestRequestLeavesWhenWaitingCostsMoreThanTheWay goes to the other region from that on, with
-// equal prompts held in both.
-func TestRequestLeavesWhenWaitingCostsMoreThanTheWay(t *testing.T) {
+// TestRequestGoesElsewhereWhenQueueingCostsMore checks that a request goes to another region once
+// the queue in the local one costs more than the transfer, if both have the same prompts cached.
+func TestRequestGoesElsewhereWhenQueueingCostsMore(t *testing.T) {
 	for _, example := range []struct {
 		waiting float64
 		first   identity.Region
-	}{{0, "own"}, {wayCost - 1, "own"}, {wayCost + 1, "other"}} {
+	}{{0, "own"}, {crossRegionCost - 1, "own"}, {crossRegionCost + 1, "other"}} {
 		regions := []Region{
 			{Room: backendpool.Room{Region: "own", Backends: 1, Reading: example.waiting}, Local: true, Known: true},
 			{Room: backendpool.Room{Region: "other", Backends: 1}, Known: true, Free: 1},
@@ -104,9 +104,9 @@
 	}
 }
 
-// TestUnlimitedRequestLeavesAFullRegion goes elsewhere where all places of the own region are
-// taken, though the way costs more than waiting would.
-func TestUnlimitedRequestLeavesAFullRegion(t *testing.T) {
+// TestUnlimitedRequestAvoidsFullRegion checks that a request without limits goes to another region
+// if all local slots are in use, even if the transfer costs more than waiting.
+func TestUnlimitedRequestAvoidsFullRegion(t *testing.T) {
 	regions := []Region{
 		{Room: backendpool.Room{Region: "own", Backends: 2, Slots: 12, InFlight: 12}, Local: true, Known: true},
 		{Room: backendpool.Room{Region: "other", Backends: 2, Slots: 12}, Known: true, Free: 12},
@@ -115,36 +115,37 @@
 	assert.Equal(t, Order(regions, true)[0].Region, identity.Region("own"))
 }
 
-// TestDaemonsTogetherSendNoMoreThanTheRoom lets all daemons outside a region send what they may
-// on each telling: no herd, and in the mean no more than the room.
+// TestDaemonsTogetherSendNoMoreThanTheRoom has all daemons outside a region use their full credit
+// after each capacity report. They must not exceed the reported capacity by more than one request
+// each, nor on average at all, so that there is no thundering herd.
 func TestDaemonsTogetherSendNoMoreThanTheRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		outside := rapid.IntRange(1, 80).Draw(t, "outside")
 		free := rapid.Float64Range(0, 200).Draw(t, "free")
-		luck := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
+		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		var credits []*Credit
 		for range outside {
-			credits = append(credits, NewCredit(luck.Float64))
+			credits = append(credits, NewCredit(random.Float64))
 		}
-		const tellings = 200
+		const reports = 200
 		total := 0
-		for telling := range tellings {
-			toldAt, sent := start.Add(time.Duration(telling)*renewInterval), 0
+		for report := range reports {
+			reportedAt, sent := start.Add(time.Duration(report)*renewInterval), 0
 			for _, credit := range credits {
-				for credit.Take("s", "r", toldAt, free, outside) {
+				for credit.Take("s", "r", reportedAt, free, outside) {
 					sent++
 				}
-				assert.Assert(t, !credit.Take("s", "r", toldAt.Add(renewInterval/2), free, outside), "told again at once")
+				assert.Assert(t, !credit.Take("s", "r", reportedAt.Add(renewInterval/2), free, outside), "credit renewed too early")
 			}
 			assert.Assert(t, float64(sent) <= free+float64(outside))
 			total += sent
 		}
-		assert.Assert(t, math.Abs(float64(total)-tellings*free) <= float64(outside)+0.001, "%d sent on %v", total, tellings*free)
+		assert.Assert(t, math.Abs(float64(total)-reports*free) <= float64(outside)+0.001, "%d sent on %v", total, reports*free)
 	})
 }
 
-// TestNoRoomIsNoCredit sends nothing to a region that is full.
-func TestNoRoomIsNoCredit(t *testing.T) {
+// TestFullRegionGrantsNoCredit checks that nothing is sent to a region without free capacity.
+func TestFullRegionGrantsNoCredit(t *testing.T) {
 	credit := NewCredit(func() float64 { return 0 })
 	assert.Assert(t, !credit.Take("s", "r", start, 0, 1))
 	assert.Assert(t, !credit.Take("s", "r", start, 0, 0))
@@ -162,7 +163,7 @@
 	}
 }
 
-// BenchmarkOrder3 and BenchmarkOrder6 measure the choice among 3 and 6 regions, with the credit. It
-// takes 0.69 us and 1.8 us; there was no choice of regions before.
+// BenchmarkOrder3 and BenchmarkOrder6 measure the choice among 3 and 6 regions including the
+// credit. It takes 0.69 us and 1.8 us.
 func BenchmarkOrder3(b *testing.B) { benchmarkOrder(b, 3) }
 func BenchmarkOrder6(b *testing.B) { benchmarkOrder(b, 6) }
--- a/internal/core/regionchoice/credit.go
+++ b/internal/core/regionchoice/credit.go
@@ -8,65 +8,65 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// renewInterval is the least time between two tellings of a region's room that count: two
-// daemons tell it, each some times a second.
+// renewInterval is the minimum time between two capacity reports of a region that renew the
+// credit. Two daemons of the region each report it several times a second.
 const renewInterval = 200 * time.Millisecond
 
-// Credit bounds what one daemon sends to other regions: of the room that a region tells, its
-// part among all daemons outside that region, anew each time the region tells. It is safe for
-// use by several goroutines. Make it with NewCredit.
+// Credit bounds how many requests one daemon sends to other regions: an equal share, among all
+// daemons outside the region, of the capacity that the region last reported. It is safe for
+// concurrent use. Create it with NewCredit.
 type Credit struct {
-	// random returns a number from 0 to 1, the fraction with which each account begins: daemons
-	// whose part is less than one request don't all have a whole one at the same time.
+	// random returns a number in [0, 1) that initializes the fraction of each credit. Daemons whose
+	// share is below one request then do not all reach a whole request at the same time.
 	random func() float64
 	mutex  sync.Mutex
-	left   map[account]*credit
+	byKey  map[creditKey]*credit
 }
 
-// account names the credit for a service in a region.
-type account struct {
+// creditKey identifies the credit for a service in a region.
+type creditKey struct {
 	service identity.ServiceName
 	region  identity.Region
 }
 
-// credit is how many requests may go on what was told at a time.
+// credit is the number of requests that may still be sent on one capacity report.
 type credit struct {
-	toldAt time.Time
-	left   float64
-	// fraction is the part of a request that was not yet given, 0 to 1. It is carried on, so that
-	// over many tellings a daemon sends its part of the room and at most one request more.
+	reportedAt time.Time
+	remaining  float64
+	// fraction is the part of a request that was not granted yet, from 0 to 1. It carries over, so
+	// that over many reports a daemon sends its share of the capacity plus at most one request.
 	fraction float64
 }
 
-// renew gives a daemon its part of the room that was told at a time.
-func (c *credit) renew(toldAt time.Time, part float64) {
+// renew replaces the credit by the daemon's share of a new capacity report.
+func (c *credit) renew(reportedAt time.Time, part float64) {
 	whole, fraction := math.Modf(part + c.fraction)
-	c.toldAt, c.left, c.fraction = toldAt, whole, fraction
+	c.reportedAt, c.remaining, c.fraction = reportedAt, whole, fraction
 }
 
-// NewCredit makes a Credit with a source of random numbers from 0 to 1.
+// NewCredit returns a Credit that uses random, a source of numbers in [0, 1).
 func NewCredit(random func() float64) *Credit {
-	return &Credit{random: random, left: map[account]*credit{}}
+	return &Credit{random: random, byKey: map[creditKey]*credit{}}
 }
 
-// Take takes one request's room; it returns false, and takes nothing, where none is left. At
-// toldAt the region told that it has room for free requests; outside is how many daemons are
-// outside it.
-func (c *Credit) Take(service identity.ServiceName, region identity.Region, toldAt time.Time, free float64, outside int) bool {
+// Take consumes the credit for one request. It returns false and consumes nothing if none is left.
+// The region reported at reportedAt that it can accept free further requests; outside is the
+// number of daemons in other regions.
+func (c *Credit) Take(service identity.ServiceName, region identity.Region, reportedAt time.Time, free float64, outside int) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	key := account{service, region}
-	found := c.left[key]
+	key := creditKey{service, region}
+	found := c.byKey[key]
 	if found == nil {
 		found = &credit{fraction: c.random()}
-		c.left[key] = found
+		c.byKey[key] = found
 	}
-	if toldAt.Sub(found.toldAt) >= renewInterval {
-		found.renew(toldAt, free/float64(max(outside, 1)))
+	if reportedAt.Sub(found.reportedAt) >= renewInterval {
+		found.renew(reportedAt, free/float64(max(outside, 1)))
 	}
-	if found.left < 1 {
+	if found.remaining < 1 {
 		return false
 	}
-	found.left--
+	found.remaining--
 	return true
 }
