--- a/internal/core/waitqueue/queue.go
+++ b/internal/core/waitqueue/queue.go
@@ -1,6 +1,6 @@
-// Package waitqueue decides whether a request that finds all places of its service's back
-// ends taken is let wait for one, and what one that is not is told. It is pure: each call
-// carries the time.
+// Package waitqueue estimates how long a request waits when all slots of its service's backends
+// are in use, and the Retry-After of a request that is rejected instead. It reads no clock;
+// callers pass the current time.
 package waitqueue
 
 import (
@@ -9,62 +9,64 @@
 )
 
 const (
-	// intervalWeight is the weight of the newest in the mean time between two grants.
+	// intervalWeight is the weight of the newest sample in the moving average of the time between
+	// grants.
 	intervalWeight = 0.1
-	// deviations is how many standard deviations a wait may exceed its mean and still has to
-	// end in time: about one request in forty that is let wait then waits in vain.
-	deviations = 2
-	// quietTime without a refusal ends an overload.
-	quietTime = time.Second
-	// leastRetryAfter and mostRetryAfter bound what a refused request is told.
-	leastRetryAfter = 250 * time.Millisecond
-	mostRetryAfter  = 2 * time.Second
+	// waitDeviations is the number of standard deviations that the estimate adds to the mean wait.
+	// With 2, about one in forty admitted requests waits in vain.
+	waitDeviations = 2
+	// overloadQuietTime is the time without a rejection after which an overload has ended.
+	overloadQuietTime = time.Second
+	// minRetryAfter and maxRetryAfter bound the Retry-After of a rejected request.
+	minRetryAfter = 250 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
 )
 
-// Queue is what is known of the requests that wait for a place of one service at this
-// daemon. The zero value has seen none.
+// Queue tracks the requests that wait at this daemon for a slot of one service. The zero value is
+// an empty queue.
 type Queue struct {
-	// interval is the mean time between two grants while requests waited; zero is unknown.
+	// interval is the mean time between two grants while requests are waiting; zero is unknown.
 	interval time.Duration
-	// since is when the last grant was, or when requests began to wait if that was later.
-	since time.Time
-	// overloadedSince and refusedAt are when the present overload began and when it was seen
-	// last.
+	// lastGrant is the time of the last grant, or the time at which requests began to wait if that is
+	// later.
+	lastGrant time.Time
+	// overloadedSince is the start of the current overload, and refusedAt the time of the latest
+	// rejection.
 	overloadedSince, refusedAt time.Time
 }
 
-// Begin notes that requests begin to wait: none did before.
-func (q *Queue) Begin(now time.Time) { q.since = now }
+// Begin records that the queue becomes non-empty.
+func (q *Queue) Begin(now time.Time) { q.lastGrant = now }
 
-// Granted notes that a waiting request got a place.
+// Granted records that a waiting request got a slot.
 func (q *Queue) Granted(now time.Time) {
-	took := now.Sub(q.since)
+	took := now.Sub(q.lastGrant)
 	if q.interval == 0 {
 		q.interval = took
 	}
 	q.interval += time.Duration(intervalWeight * float64(took-q.interval))
-	q.since = now
+	q.lastGrant = now
 }
 
-// EstimateWait is how long a request with a number of others before it waits, by the mean and as
-// much more as is to be reckoned with: places become free at random times.
+// EstimateWait returns the wait of a request with the given number of requests ahead of it: the
+// mean plus a margin of waitDeviations, since slots become free at random times.
 func (q *Queue) EstimateWait(now time.Time, ahead int) time.Duration {
 	interval := q.interval
 	if ahead > 0 {
-		interval = max(interval, now.Sub(q.since))
+		interval = max(interval, now.Sub(q.lastGrant))
 	}
 	grants := float64(ahead + 1)
-	return time.Duration((grants + deviations*math.Sqrt(grants)) * float64(interval))
+	return time.Duration((grants + waitDeviations*math.Sqrt(grants)) * float64(interval))
 }
 
-// RetryAfter notes that a request is refused for want of a place, and says when it is to
-// come back: after as long as the overload has lasted. A short peak is over soon; one that
-// has lasted for a while is likely to go on for as long, and a request that comes back into
-// it is refused again, or makes another one late.
+// RetryAfter records a rejection for lack of a slot and returns when the client should retry:
+// after as long as the overload has lasted so far. A short peak ends soon, while a long overload
+// is likely to continue for as long again, and a request that returns during it is rejected again
+// or delays another one.
 func (q *Queue) RetryAfter(now time.Time) time.Duration {
-	if now.Sub(q.refusedAt) > quietTime {
+	if now.Sub(q.refusedAt) > overloadQuietTime {
 		q.overloadedSince = now
 	}
 	q.refusedAt = now
-	return min(max(now.Sub(q.overloadedSince), leastRetryAfter), mostRetryAfter)
+	return min(max(now.Sub(q.overloadedSince), minRetryAfter), maxRetryAfter)
 }
--- a/internal/core/waitqueue/queue_test.go
+++ b/internal/core/waitqueue/queue_test.go
@@ -11,14 +11,14 @@
 
 var start = time.Unix(1000, 0)
 
-// TestWaitIsSeldomLonger lets places become free at random times: what a request is told of
-// its wait is exceeded in few cases, whatever the rate and the number of others before it.
-func TestWaitIsSeldomLonger(t *testing.T) {
+// TestEstimateIsSeldomExceeded frees slots at random times and checks that few waits exceed the
+// estimate, whatever the rate and the position in the queue.
+func TestEstimateIsSeldomExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		luck := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
+		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		mean := time.Duration(rapid.IntRange(1, 200).Draw(t, "mean")) * time.Millisecond
 		ahead := rapid.IntRange(0, 12).Draw(t, "ahead")
-		next := func() time.Duration { return time.Duration(luck.ExpFloat64() * float64(mean)) }
+		next := func() time.Duration { return time.Duration(random.ExpFloat64() * float64(mean)) }
 		var queue Queue
 		now := start
 		queue.Begin(now)
@@ -43,8 +43,8 @@
 	})
 }
 
-// TestNoGrantsMakeWaitsLonger lets requests wait while no place becomes free.
-func TestNoGrantsMakeWaitsLonger(t *testing.T) {
+// TestEstimateGrowsWithoutGrants has requests wait while no slot becomes free.
+func TestEstimateGrowsWithoutGrants(t *testing.T) {
 	var queue Queue
 	queue.Begin(start)
 	assert.Equal(t, queue.EstimateWait(start, 0), time.Duration(0), "nothing is known yet")
@@ -52,13 +52,13 @@
 	soon, later := start.Add(20*time.Millisecond), start.Add(time.Second)
 	assert.Assert(t, queue.EstimateWait(soon, 1) < 100*time.Millisecond)
 	assert.Assert(t, queue.EstimateWait(later, 1) > time.Second)
-	assert.Assert(t, queue.EstimateWait(later, 0) < 100*time.Millisecond, "nobody waits who shows that none is free")
+	assert.Assert(t, queue.EstimateWait(later, 0) < 100*time.Millisecond, "an empty queue says nothing about the time since the last grant")
 }
 
-// TestRetryAfterGrowsWithTheOverload refuses requests for some seconds.
-func TestRetryAfterGrowsWithTheOverload(t *testing.T) {
+// TestRetryAfterGrowsWithOverload rejects requests for several seconds.
+func TestRetryAfterGrowsWithOverload(t *testing.T) {
 	var queue Queue
-	assert.Equal(t, queue.RetryAfter(start), leastRetryAfter)
+	assert.Equal(t, queue.RetryAfter(start), minRetryAfter)
 	now := start
 	for now.Before(start.Add(time.Second)) {
 		now = now.Add(100 * time.Millisecond)
@@ -66,9 +66,9 @@
 	}
 	assert.Equal(t, queue.RetryAfter(now), time.Second)
 	for range 20 {
-		now = now.Add(quietTime)
+		now = now.Add(overloadQuietTime)
 		queue.RetryAfter(now)
 	}
-	assert.Equal(t, queue.RetryAfter(now), mostRetryAfter)
-	assert.Equal(t, queue.RetryAfter(now.Add(2*quietTime)), leastRetryAfter, "another overload")
+	assert.Equal(t, queue.RetryAfter(now), maxRetryAfter)
+	assert.Equal(t, queue.RetryAfter(now.Add(2*overloadQuietTime)), minRetryAfter, "another overload")
 }
