--- a/cmd/internal/daemon/duty.go
+++ b/cmd/internal/daemon/duty.go
@@ -37,8 +37,8 @@
 			SoleIncarnation: true, // a machine runs one process of a role
 			Duration:        leaseDuration(bounds),
 			MaximumDrift:    maximumDrift,
-			ActWithin:       time.Duration(actShare * float64(leaseDuration(bounds))),
-			Rest:            rest(bounds),
+			ActWindow:       time.Duration(actShare * float64(leaseDuration(bounds))),
+			HandoverDelay:   rest(bounds),
 			Era:             w.store.Era,
 		},
 	})
--- a/internal/core/lease/acting_test.go
+++ b/internal/core/lease/acting_test.go
@@ -24,7 +24,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		for _, one := range w.participants {
-			one.machine.settings.ActWithin, one.machine.settings.Rest = testActWithin, testRest
+			one.machine.settings.ActWindow, one.machine.settings.HandoverDelay = testActWithin, testRest
 		}
 		var lastActor identity.DaemonID
 		lastAct := time.Duration(0)
@@ -45,7 +45,7 @@
 					assert.Assert(t, w.elapsed-lastAct >= testRest, "acts of %s and %s lie %s apart", lastActor, name, w.elapsed-lastAct)
 				}
 				lastActor, lastAct = name, w.elapsed
-				one.machine.Acted(now)
+				one.machine.RecordAction(now)
 			}
 			w.elapsed += testDuration / 25
 		}
@@ -63,7 +63,7 @@
 			"restart": func(t *rapid.T) {
 				one := w.participants[rapid.IntRange(0, holders-1).Draw(t, "participant")]
 				w.restart(one)
-				one.machine.settings.ActWithin, one.machine.settings.Rest = testActWithin, testRest
+				one.machine.settings.ActWindow, one.machine.settings.HandoverDelay = testActWithin, testRest
 			},
 			"want": func(t *rapid.T) {
 				one := w.participants[rapid.IntRange(0, holders-1).Draw(t, "participant")]
@@ -81,12 +81,12 @@
 func TestOwnLapseDoesNotStartTheWaitAnew(t *testing.T) {
 	settings := Settings{
 		Key: testKey, Holder: "two", Incarnation: 2, Duration: testDuration, SoleIncarnation: true,
-		ActWithin: testActWithin, Rest: testRest,
+		ActWindow: testActWithin, HandoverDelay: testRest,
 	}
 	now := time.Unix(1_000_000, 0)
 	machine := New(settings)
 	machine.SetActing(true)
-	left := Record{Holder: "one", Incarnation: 1, Token: 5, Duration: testDuration, Acting: true, Released: true, RestLeft: testRest}
+	left := Record{Holder: "one", Incarnation: 1, Token: 5, Duration: testDuration, Acting: true, Released: true, HandoverDelayLeft: testRest}
 	assert.Assert(t, machine.Tick(now) != nil)
 	assert.NilError(t, machine.ReadDone(now, []port.Row{{Key: testKey, Value: left.encode(), Version: 7}}, nil))
 	take := func(version uint64) {
@@ -111,12 +111,12 @@
 // were seen: the new holder waits for what is left of the rest only.
 func TestTimeSinceTheReleaseCounts(t *testing.T) {
 	settings := Settings{
-		Key: testKey, Holder: "two", Incarnation: 2, Duration: testDuration, ActWithin: testActWithin, Rest: testRest,
+		Key: testKey, Holder: "two", Incarnation: 2, Duration: testDuration, ActWindow: testActWithin, HandoverDelay: testRest,
 	}
 	now := time.Unix(1_000_000, 0)
 	later := now.Add(3 * testDuration / 2)
 	for _, left := range []Record{
-		{Holder: "one", Token: 5, Duration: testDuration, Acting: true, Released: true, RestLeft: testRest},
+		{Holder: "one", Token: 5, Duration: testDuration, Acting: true, Released: true, HandoverDelayLeft: testRest},
 		{Holder: "one", Token: 5, Duration: testDuration, Acting: true},
 	} {
 		machine := New(settings)
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -350,7 +350,7 @@
 // greater all the same, and it acts only once the lost one can't any more and the rest is over.
 func TestTokensRiseWhereTheTableComesBackOlder(t *testing.T) {
 	era := uint64(0)
-	settings := Settings{Key: testKey, Holder: "next", Duration: testDuration, MaximumDrift: testDrift, Rest: 3 * time.Second, Era: func() uint64 { return era }}
+	settings := Settings{Key: testKey, Holder: "next", Duration: testDuration, MaximumDrift: testDrift, HandoverDelay: 3 * time.Second, Era: func() uint64 { return era }}
 	next := New(settings)
 	next.Want(true)
 	now := time.Unix(1000, 0)
--- a/internal/core/lease/machine.go
+++ b/internal/core/lease/machine.go
@@ -92,16 +92,16 @@
 	}
 }
 
-// Acted notes when the holder last acted. It must be told before the row is released.
-func (m *Machine) Acted(at time.Time) {
+// RecordAction notes when the holder last acted. It must be told before the row is released.
+func (m *Machine) RecordAction(at time.Time) {
 	if at.After(m.actedAt) {
 		m.actedAt = at
 	}
 }
 
-// Settled tells whether a daemon that doesn't want the lease has nothing left to
+// FullyReleased tells whether a daemon that doesn't want the lease has nothing left to
 // release.
-func (m *Machine) Settled() bool {
+func (m *Machine) FullyReleased() bool {
 	if m.wanted || m.calling {
 		return false
 	}
@@ -196,7 +196,7 @@
 	case m.version == 0, !m.record.Acting, own && !m.record.Waiting:
 		return 0
 	case m.record.Released:
-		left := min(m.record.RestLeft+m.settings.margin(), m.settings.rest())
+		left := min(m.record.HandoverDelayLeft+m.settings.margin(), m.settings.rest())
 		return max(left-now.Sub(m.seenAt), 0)
 	case own:
 		return m.settings.rest()
@@ -253,8 +253,8 @@
 	}
 	released := m.newRecord(now, m.record.Token)
 	released.Released = true
-	released.RestLeft = m.restLeft(now)
-	released.Acting = released.RestLeft > 0
+	released.HandoverDelayLeft = m.restLeft(now)
+	released.Acting = released.HandoverDelayLeft > 0
 	return m.commit(now, released)
 }
 
@@ -284,11 +284,11 @@
 	return m.observe(now, rows[0])
 }
 
-// Heard takes in the row as its holder has told it. That is as good as having read it at
+// ObserveRow takes in the row as its holder has told it. That is as good as having read it at
 // this moment: the holder counts from before. Nothing is taken in during a call, and
 // nothing older than what is known. It returns a *MalformedError when the row cannot be
 // understood.
-func (m *Machine) Heard(now time.Time, row port.Row) error {
+func (m *Machine) ObserveRow(now time.Time, row port.Row) error {
 	if m.calling || row.Version < m.version {
 		return nil
 	}
--- a/internal/core/lease/record.go
+++ b/internal/core/lease/record.go
@@ -24,8 +24,8 @@
 	Acting bool `json:"acting,omitempty"`
 	// Waiting means that the holder still waits because of the one before it.
 	Waiting bool `json:"waiting,omitempty"`
-	// RestLeft is how long the next holder has to wait once the row is released.
-	RestLeft time.Duration `json:"rest_left,omitempty"`
+	// HandoverDelayLeft is how long the next holder has to wait once the row is released.
+	HandoverDelayLeft time.Duration `json:"rest_left,omitempty"`
 	// Released means that nobody holds the lease and nobody has to wait.
 	Released bool `json:"released,omitempty"`
 }
--- a/internal/core/lease/settings.go
+++ b/internal/core/lease/settings.go
@@ -32,15 +32,15 @@
 	// MaximumDrift bounds by how much any daemon's clock runs too fast or too
 	// slow, as a fraction. A holder gives up twice that fraction of the duration.
 	MaximumDrift float64
-	// ActWithin is how long after a confirmed commit was sent the holder may act. Others
+	// ActWindow is how long after a confirmed commit was sent the holder may act. Others
 	// wait for the whole duration before they take over, so that the shorter this is,
 	// the longer ago the last act was then. Zero is as long as the grant lasts.
-	ActWithin time.Duration
+	ActWindow time.Duration
 	// Era counts how often the table has come back from a copy of before: what was committed since is gone then. Tokens of
 	// a later era are greater than all before. Nil is none.
 	Era port.EraSource
-	// Rest must lie between acts of different holders. Zero asks for no such time.
-	Rest time.Duration
+	// HandoverDelay must lie between acts of different holders. Zero asks for no such time.
+	HandoverDelay time.Duration
 }
 
 // RetryInterval is the pause after a failed call, and how often Tick is due.
@@ -48,17 +48,19 @@
 
 // actWithin is how long after a commit was sent the holder may act.
 func (s Settings) actWithin() time.Duration {
-	if s.ActWithin == 0 {
+	if s.ActWindow == 0 {
 		return s.usable()
 	}
-	return min(s.ActWithin, s.usable())
+	return min(s.ActWindow, s.usable())
 }
 
 // rest is Rest by a clock that may run too fast, while the other one's runs too slow.
-func (s Settings) rest() time.Duration { return s.Rest + s.margin() }
+func (s Settings) rest() time.Duration { return s.HandoverDelay + s.margin() }
 
 // margin covers clocks of different rates over the rest.
-func (s Settings) margin() time.Duration { return time.Duration(2 * s.MaximumDrift * float64(s.Rest)) }
+func (s Settings) margin() time.Duration {
+	return time.Duration(2 * s.MaximumDrift * float64(s.HandoverDelay))
+}
 
 // restAfterLapse is what is left of the rest when a lease has just lapsed. Others count
 // the whole duration, but the holder acted in ActWithin of it at the most.
--- a/internal/leasekeeper/keeper.go
+++ b/internal/leasekeeper/keeper.go
@@ -136,7 +136,7 @@
 		case <-ticker.C:
 		case <-k.wake:
 		case row := <-k.heard:
-			if err := k.machine.Heard(k.options.Now(), row); err != nil {
+			if err := k.machine.ObserveRow(k.options.Now(), row); err != nil {
 				k.options.Log.WithError(err).Error("The lease's row, as told, cannot be read.")
 			}
 			continue
@@ -157,9 +157,9 @@
 	defer cancel()
 	k.machine.Want(false)
 	k.publish()
-	for ctx.Err() == nil && !k.machine.Settled() {
+	for ctx.Err() == nil && !k.machine.FullyReleased() {
 		k.step(ctx)
-		if !k.machine.Settled() {
+		if !k.machine.FullyReleased() {
 			pause.For(ctx, settings.RetryInterval())
 		}
 	}
@@ -170,7 +170,7 @@
 	ctx, cancel := context.WithTimeout(ctx, k.options.Settings.Duration/callFraction)
 	defer cancel()
 	if acted := k.actedAt.Load(); acted != nil {
-		k.machine.Acted(*acted)
+		k.machine.RecordAction(*acted)
 	}
 	var err error
 	switch action := k.machine.Tick(k.options.Now()).(type) {
