--- a/internal/administration/tables.go
+++ b/internal/administration/tables.go
@@ -30,7 +30,7 @@
 	// Rollouts returns the state of services' software versions; nil where roll-outs are off.
 	Rollouts func() []query.Rollout
 	// Limits returns what this daemon grants of limits.
-	Limits func() []quota.Use
+	Limits func() []quota.Usage
 	// Held returns what this daemon holds for callers; nil is not known.
 	Held func() buffers.Usage
 }
--- a/internal/core/quota/bucket.go
+++ b/internal/core/quota/bucket.go
@@ -14,8 +14,8 @@
 	RatePerSecond, Burst float64
 }
 
-// Part is one of a number of equal parts of a limit.
-func (l Limit) Part(count int) Limit {
+// Split is one of a number of equal parts of a limit.
+func (l Limit) Split(count int) Limit {
 	l.RatePerSecond /= float64(max(count, 1))
 	l.Burst /= float64(max(count, 1))
 	return l
@@ -110,8 +110,8 @@
 	return max(time.Duration(amount/rate*float64(time.Second)), minimumWait)
 }
 
-// Return gives back what was taken and not used.
-func (b *Bucket) Return(cost float64) { b.level = min(b.level+cost, b.capacity()) }
+// Refund gives back what was taken and not used.
+func (b *Bucket) Refund(cost float64) { b.level = min(b.level+cost, b.capacity()) }
 
 // Cap lowers what the bucket holds to a level, if it holds more.
 func (b *Bucket) Cap(now time.Time, share, level float64) {
--- a/internal/core/quota/ledger.go
+++ b/internal/core/quota/ledger.go
@@ -49,9 +49,9 @@
 	askedAt time.Time
 }
 
-// Ledger holds the buckets of the owners that one daemon grants for. It is not safe for
+// Limiter holds the buckets of the owners that one daemon grants for. It is not safe for
 // use by several goroutines at once.
-type Ledger struct {
+type Limiter struct {
 	// margin is what each bucket holds beyond the limit's burst.
 	margin float64
 	// aloneSince is since when no other daemon grants where this one is the home.
@@ -61,28 +61,28 @@
 	prunedAt   time.Time
 }
 
-// NewLedger makes an empty ledger. Others may have granted in its daemon's place until aloneSince.
+// NewLimiter makes an empty ledger. Others may have granted in its daemon's place until aloneSince.
 // The margin is what an owner may exceed its limit by, in the unit of the costs.
-func NewLedger(aloneSince time.Time, margin float64) *Ledger {
-	return &Ledger{
+func NewLimiter(aloneSince time.Time, margin float64) *Limiter {
+	return &Limiter{
 		margin: margin, aloneSince: aloneSince, prunedAt: aloneSince,
 		buckets: map[Owner]*ownedBucket{}, answers: map[RequestKey]answer{},
 	}
 }
 
-// Standing says in which position a daemon grants.
-type Standing struct {
+// Role says in which position a daemon grants.
+type Role struct {
 	// Home is set if this daemon is the one that is to grant for the owner. Another one
 	// grants in its place while it doesn't answer.
 	Home bool
 	// Share of the rate that may be granted, above 0 up to 1.
 	Share float64
-	// HomeHeardAt is when one that isn't the home last heard it; zero is not lately.
-	HomeHeardAt time.Time
+	// HomeLastSeenAt is when one that isn't the home last heard it; zero is not lately.
+	HomeLastSeenAt time.Time
 }
 
 // Take answers a request; one that is repeated gets the answer that it got before.
-func (l *Ledger) Take(now time.Time, request Request, standing Standing) Decision {
+func (l *Limiter) Take(now time.Time, request Request, standing Role) Decision {
 	l.prune(now)
 	if known, found := l.answers[request.Key]; found {
 		return known.decision
@@ -108,7 +108,7 @@
 // before it started, or another one before this one grants in its place, is not known, so
 // that a new bucket holds no more than has accrued since, and the margin. Nor is known what the
 // home has granted while one in its place paused: else each change between the two would bring another burst.
-func (l *Ledger) bucket(now time.Time, request Request, standing Standing) *ownedBucket {
+func (l *Limiter) bucket(now time.Time, request Request, standing Role) *ownedBucket {
 	found := l.buckets[request.Owner]
 	if found != nil {
 		if standing.resumes(now, found.askedAt) {
@@ -130,25 +130,25 @@
 }
 
 // resumes tells whether a daemon grants in the home's place again, after the home may have granted meanwhile.
-func (s Standing) resumes(now, askedAt time.Time) bool {
-	return !s.Home && now.Sub(askedAt) > resumePause && s.HomeHeardAt.After(askedAt)
+func (s Role) resumes(now, askedAt time.Time) bool {
+	return !s.Home && now.Sub(askedAt) > resumePause && s.HomeLastSeenAt.After(askedAt)
 }
 
-// Return gives back what a request was granted and did not use. It returns false if that
+// Refund gives back what a request was granted and did not use. It returns false if that
 // is not known, or was given back before.
-func (l *Ledger) Return(key RequestKey) bool {
+func (l *Limiter) Refund(key RequestKey) bool {
 	known, found := l.answers[key]
 	bucket := l.buckets[known.owner]
 	if !found || !known.decision.Granted || bucket == nil {
 		return false
 	}
 	delete(l.answers, key)
-	bucket.Return(known.cost)
+	bucket.Refund(known.cost)
 	return true
 }
 
 // prune forgets what is no longer needed.
-func (l *Ledger) prune(now time.Time) {
+func (l *Limiter) prune(now time.Time) {
 	if now.Sub(l.prunedAt) < pruneInterval {
 		return
 	}
@@ -159,19 +159,19 @@
 	})
 }
 
-// Use is one owner's bucket as operators see it.
-type Use struct {
+// Usage is one owner's bucket as operators see it.
+type Usage struct {
 	Owner Owner
 	Limit Limit
 	// Level is what may be used at once now.
 	Level float64
 }
 
-// Uses returns the buckets that this ledger holds.
-func (l *Ledger) Uses(now time.Time) []Use {
-	uses := make([]Use, 0, len(l.buckets))
+// Usages returns the buckets that this ledger holds.
+func (l *Limiter) Usages(now time.Time) []Usage {
+	uses := make([]Usage, 0, len(l.buckets))
 	for owner, bucket := range l.buckets {
-		uses = append(uses, Use{Owner: owner, Limit: bucket.limit, Level: bucket.Level(now, 1)})
+		uses = append(uses, Usage{Owner: owner, Limit: bucket.limit, Level: bucket.Level(now, 1)})
 	}
 	return uses
 }
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -82,11 +82,11 @@
 
 // TestLowerLimitHoldsAtOnce applies a newer limit, and ignores an older one.
 func TestLowerLimitHoldsAtOnce(t *testing.T) {
-	ledger := NewLedger(start, 0)
+	ledger := NewLimiter(start, 0)
 	now := start.Add(time.Hour)
 	ask := func(number, version uint64, rate, cost float64) bool {
 		request := Request{Key: RequestKey{"a", number}, Owner: "t", Limit: Limit{version, rate, rate}, Cost: cost}
-		return ledger.Take(now, request, Standing{Home: true, Share: 1}).Granted
+		return ledger.Take(now, request, Role{Home: true, Share: 1}).Granted
 	}
 	assert.Assert(t, ask(1, 7, 1000, 100))
 	assert.Assert(t, ask(2, 8, 10, 10), "the lower limit's burst is there")
@@ -96,19 +96,19 @@
 
 // TestRepeatedRequestTakesOnce repeats a request whose answer was lost, and gives back once.
 func TestRepeatedRequestTakesOnce(t *testing.T) {
-	ledger := NewLedger(start, 0)
+	ledger := NewLimiter(start, 0)
 	now := start.Add(time.Hour)
 	request := func(number uint64) Request {
 		return Request{Key: RequestKey{"a", number}, Owner: "t", Limit: Limit{1, 1, 100}, Cost: 60}
 	}
-	home := Standing{Home: true, Share: 1}
+	home := Role{Home: true, Share: 1}
 	for range 3 {
 		assert.Assert(t, ledger.Take(now, request(1), home).Granted)
 	}
 	assert.Assert(t, !ledger.Take(now, request(2), home).Granted)
-	assert.Assert(t, ledger.Return(request(1).Key))
-	assert.Assert(t, !ledger.Return(request(1).Key))
-	assert.Assert(t, !ledger.Return(request(2).Key))
+	assert.Assert(t, ledger.Refund(request(1).Key))
+	assert.Assert(t, !ledger.Refund(request(1).Key))
+	assert.Assert(t, !ledger.Refund(request(2).Key))
 	assert.Assert(t, ledger.Take(now, request(3), home).Granted)
 	assert.Assert(t, !ledger.Take(now, request(4), home).Granted)
 }
@@ -116,8 +116,8 @@
 // TestUnknownUseIsNotGrantedAgain starts buckets where another daemon may have granted the
 // burst just before.
 func TestUnknownUseIsNotGrantedAgain(t *testing.T) {
-	for _, standing := range []Standing{{Home: false, Share: 1}, {Home: true, Share: 1}} {
-		ledger := NewLedger(start, 10)
+	for _, standing := range []Role{{Home: false, Share: 1}, {Home: true, Share: 1}} {
+		ledger := NewLimiter(start, 10)
 		request := Request{Key: RequestKey{"a", 1}, Owner: "t", Limit: Limit{1, 100, 100}, Cost: 100}
 		assert.Assert(t, !ledger.Take(start, request, standing).Granted)
 		request.Key.Number = 2
@@ -128,7 +128,7 @@
 // BenchmarkTake measures one decision of a ledger among 15,000 tenants. It took 240 ns when
 // the ledger was new.
 func BenchmarkTake(b *testing.B) {
-	ledger := NewLedger(start, 10)
+	ledger := NewLimiter(start, 10)
 	tenants := make([]Request, 15000)
 	for index := range tenants {
 		tenants[index] = Request{Owner: tenantName(index), Limit: Limit{1, 100, 100}, Cost: 1}
@@ -138,7 +138,7 @@
 		now = now.Add(100 * time.Microsecond)
 		request := tenants[number%len(tenants)]
 		request.Key = RequestKey{"a", uint64(number)}
-		ledger.Take(now, request, Standing{Home: true, Share: 1})
+		ledger.Take(now, request, Role{Home: true, Share: 1})
 	}
 }
 
--- a/internal/sharedlimit/limiter.go
+++ b/internal/sharedlimit/limiter.go
@@ -78,8 +78,8 @@
 	mutex sync.Mutex
 	// ledger has the buckets that this daemon grants from, and parts the buckets of its own
 	// equal parts.
-	ledger *quota.Ledger
-	parts  *quota.Ledger
+	ledger *quota.Limiter
+	parts  *quota.Limiter
 	// heard are the regions of which a daemon was ever heard, startedAt is when this daemon
 	// began, and apart is when a daemon of a region last asked that hears none of this one's region.
 	heard     map[identity.Region]bool
@@ -100,7 +100,7 @@
 		options: options, self: options.Link.Address(),
 		questions: peerlink.NewQuestions[quota.Decision](), silence: presence.NewSilence(options.Presence),
 		// Those that found this daemon silent ask another one for so long.
-		ledger: quota.NewLedger(now.Add(presence.SilentTime), options.Margin), parts: quota.NewLedger(now, 0),
+		ledger: quota.NewLimiter(now.Add(presence.SilentTime), options.Margin), parts: quota.NewLimiter(now, 0),
 		abandoned: map[uint64]time.Time{}, apart: map[identity.Region]time.Time{}, heard: map[identity.Region]bool{}, startedAt: now,
 	}
 	peerlink.HandleDecoded(options.Link, peerlink.KindLimitAsk, made.hearQuestion)
@@ -178,17 +178,17 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if grant.Own {
-		l.parts.Return(key)
+		l.parts.Refund(key)
 		return
 	}
-	l.ledger.Return(key)
+	l.ledger.Refund(key)
 }
 
 // Uses returns what this daemon knows of the owners that it grants for.
-func (l *Limiter) Uses() []quota.Use {
+func (l *Limiter) Uses() []quota.Usage {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.ledger.Uses(l.options.Now())
+	return l.ledger.Usages(l.options.Now())
 }
 
 // ranking returns the daemons that may grant for an owner, the home first.
@@ -204,13 +204,13 @@
 
 // takePart decides by this daemon's equal part of the limit.
 func (l *Limiter) takePart(request quota.Request) quota.Decision {
-	request.Limit = request.Limit.Part(l.options.Count())
+	request.Limit = request.Limit.Split(l.options.Count())
 	if _, isBackend := request.Owner.Backend(); isBackend {
 		request.Limit.Burst = max(request.Limit.Burst, request.Cost) // else each daemon overdraws its part by a request
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.parts.Take(l.options.Now(), request, quota.Standing{Share: 1})
+	return l.parts.Take(l.options.Now(), request, quota.Role{Share: 1})
 }
 
 // decide grants from this daemon's ledger, as an owner's home or in the home's place.
@@ -300,5 +300,5 @@
 func (l *Limiter) hearReturn(from string, got returnMessage) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.ledger.Return(quota.RequestKey{From: from, Number: got.Number})
+	l.ledger.Refund(quota.RequestKey{From: from, Number: got.Number})
 }
--- a/internal/sharedlimit/region.go
+++ b/internal/sharedlimit/region.go
@@ -75,18 +75,18 @@
 // standing is in which position this daemon grants. A cut may be one way, and then both the home and
 // the one in its place may hear all others. The home leaves out regions that don't hear it; the
 // other, while it hears the home, grants no more than the part of its region.
-func (l *Limiter) standing(now time.Time, home string) quota.Standing {
+func (l *Limiter) standing(now time.Time, home string) quota.Role {
 	daemons := l.options.Count()
 	if home == l.self {
-		return quota.Standing{Home: true, Share: l.options.Presence.HomeShare(now, daemons, l.apartAt(now))}
+		return quota.Role{Home: true, Share: l.options.Presence.HomeShare(now, daemons, l.apartAt(now))}
 	}
 	most := 1.0
 	if l.options.Topology.RegionOf(l.self) != l.options.Topology.RegionOf(home) {
 		most = presence.ShareOf(len(l.options.Topology.Near(l.self))+1, daemons)
 	}
-	return quota.Standing{
-		Share:       l.options.Presence.SubstituteShare(now, daemons, home, most),
-		HomeHeardAt: l.options.Presence.HeardAt(home),
+	return quota.Role{
+		Share:          l.options.Presence.SubstituteShare(now, daemons, home, most),
+		HomeLastSeenAt: l.options.Presence.HeardAt(home),
 	}
 }
 
