--- a/cmd/internal/daemon/caches.go
+++ b/cmd/internal/daemon/caches.go
@@ -51,9 +51,9 @@
 			Part: promptcache.KeyOf(event.Part.Salt, event.Part.ID), Backend: rendezvous.Key(target.Name), Tokens: event.Tokens,
 		}
 		if event.Fewer {
-			w.memory.HasDropped(now, fact)
+			w.memory.RecordDrop(now, fact)
 		} else {
-			w.memory.Holds(now, fact)
+			w.memory.RecordHeld(now, fact)
 		}
 	}
 }
--- a/cmd/internal/daemon/wire.go
+++ b/cmd/internal/daemon/wire.go
@@ -58,7 +58,7 @@
 	store    *platform.Store
 	runners  *platform.Runners
 	backends *backendpool.Pool
-	memory   *promptcache.Memory
+	memory   *promptcache.Index
 	budgets  *relay.Budgets
 
 	members   *members.List
--- a/internal/core/promptcache/promptcache.go
+++ b/internal/core/promptcache/promptcache.go
@@ -58,8 +58,8 @@
 	Tokens int
 }
 
-// ForAll tells whether the fact is worth telling all daemons.
-func (f Fact) ForAll() bool { return f.Tokens >= LargeTokens }
+// IsBroadcast tells whether the fact is worth telling all daemons.
+func (f Fact) IsBroadcast() bool { return f.Tokens >= LargeTokens }
 
 type holder struct {
 	backend uint64
@@ -78,8 +78,8 @@
 	tokens int
 }
 
-// Memory is safe for use by several goroutines.
-type Memory struct {
+// Index is safe for use by several goroutines.
+type Index struct {
 	mutex    sync.Mutex
 	capacity int
 	records  map[Key]*list.Element
@@ -88,8 +88,8 @@
 }
 
 // New makes an empty memory.
-func New() *Memory {
-	return &Memory{capacity: defaultCapacity, records: map[Key]*list.Element{}, order: list.New()}
+func New() *Index {
+	return &Index{capacity: defaultCapacity, records: map[Key]*list.Element{}, order: list.New()}
 }
 
 // Holders are the back ends that most likely hold a part, the likeliest first.
@@ -99,7 +99,7 @@
 }
 
 // Holders returns what is believed of a part.
-func (m *Memory) Holders(now time.Time, key Key) Holders {
+func (m *Index) Holders(now time.Time, key Key) Holders {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	var holders Holders
@@ -119,10 +119,10 @@
 	return holders
 }
 
-// Sent notes that this daemon sends a request with the part to a back end. It
+// RecordDispatch notes that this daemon sends a request with the part to a back end. It
 // returns true when the part should be saved if the store lacks it: its tokens are
 // most of the prompt's, and it was not saved lately.
-func (m *Memory) Sent(now time.Time, fact Fact, sharedTokens, promptTokens int) bool {
+func (m *Index) RecordDispatch(now time.Time, fact Fact, sharedTokens, promptTokens int) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	found := m.note(now, fact)
@@ -137,8 +137,8 @@
 	return true
 }
 
-// HasRead notes that a back end has read a part that this daemon sent there.
-func (m *Memory) HasRead(now time.Time, fact Fact) {
+// RecordRead notes that a back end has read a part that this daemon sent there.
+func (m *Index) RecordRead(now time.Time, fact Fact) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	fact.Read = true
@@ -146,7 +146,7 @@
 }
 
 // tell leaves a fact to be told, unless the others know of the holder already.
-func (m *Memory) tell(now time.Time, found *record, fact Fact) {
+func (m *Index) tell(now time.Time, found *record, fact Fact) {
 	told := &found.holders[0]
 	if told.read && !told.toldAt.IsZero() && now.Sub(told.toldAt) < retellAfter {
 		return
@@ -159,8 +159,8 @@
 	}
 }
 
-// Heard notes what another daemon has sent.
-func (m *Memory) Heard(now time.Time, facts []Fact) {
+// Merge notes what another daemon has sent.
+func (m *Index) Merge(now time.Time, facts []Fact) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, fact := range facts {
@@ -175,9 +175,9 @@
 	}
 }
 
-// Untold returns the facts that other daemons were not told of yet, and counts
+// DrainPending returns the facts that other daemons were not told of yet, and counts
 // them as told.
-func (m *Memory) Untold() []Fact {
+func (m *Index) DrainPending() []Fact {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	facts := m.untold
@@ -185,9 +185,9 @@
 	return facts
 }
 
-// HasDropped notes that a back end holds a part no longer, and leaves it to be told if
+// RecordDrop notes that a back end holds a part no longer, and leaves it to be told if
 // the part is known here, since others know it then too.
-func (m *Memory) HasDropped(now time.Time, fact Fact) {
+func (m *Index) RecordDrop(now time.Time, fact Fact) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	fact.Dropped = true
@@ -199,8 +199,8 @@
 	}
 }
 
-// Holds notes that a back end holds a part, which need not be told.
-func (m *Memory) Holds(now time.Time, fact Fact) {
+// RecordHeld notes that a back end holds a part, which need not be told.
+func (m *Index) RecordHeld(now time.Time, fact Fact) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	fact.Read = true
@@ -209,7 +209,7 @@
 
 // drop forgets that a back end holds a part, unless a request has just brought it
 // there again. It returns true when the back end was known to hold it.
-func (m *Memory) drop(now time.Time, fact Fact) bool {
+func (m *Index) drop(now time.Time, fact Fact) bool {
 	element := m.records[fact.Part]
 	if element == nil {
 		return false
@@ -224,7 +224,7 @@
 
 // note makes a back end the newest holder of a part. What it has read once it is
 // believed to hold.
-func (m *Memory) note(now time.Time, fact Fact) *record {
+func (m *Index) note(now time.Time, fact Fact) *record {
 	found := m.touch(fact.Part)
 	found.tokens = max(found.tokens, fact.Tokens)
 	newest := holder{backend: fact.Backend, at: now, read: fact.Read}
@@ -242,7 +242,7 @@
 }
 
 // touch returns the key's record, made if there is none, as the newest.
-func (m *Memory) touch(key Key) *record {
+func (m *Index) touch(key Key) *record {
 	if element := m.records[key]; element != nil {
 		m.order.MoveToFront(element)
 		return element.Value.(*record)
--- a/internal/core/promptcache/promptcache_test.go
+++ b/internal/core/promptcache/promptcache_test.go
@@ -16,20 +16,20 @@
 func TestSavesOnceWhileRemembered(t *testing.T) {
 	memory := New()
 	key := KeyOf("v1", "a")
-	assert.Assert(t, memory.Sent(start, Fact{Part: key, Backend: 1}, 6000, 9000))
-	assert.Assert(t, !memory.Sent(start.Add(time.Second), Fact{Part: key, Backend: 2}, 6000, 9000))
+	assert.Assert(t, memory.RecordDispatch(start, Fact{Part: key, Backend: 1}, 6000, 9000))
+	assert.Assert(t, !memory.RecordDispatch(start.Add(time.Second), Fact{Part: key, Backend: 2}, 6000, 9000))
 	assert.DeepEqual(t, memory.Holders(start.Add(time.Second), key), Holders{Reading: []uint64{2, 1}})
-	assert.Assert(t, memory.Sent(start.Add(saveAgainAfter), Fact{Part: key, Backend: 2}, 6000, 9000))
-	assert.Assert(t, memory.Sent(start, Fact{Part: KeyOf("v2", "a"), Backend: 1}, 6000, 9000))
-	assert.Assert(t, !memory.Sent(start, Fact{Part: KeyOf("v1", "b"), Backend: 1}, 92, 383))
+	assert.Assert(t, memory.RecordDispatch(start.Add(saveAgainAfter), Fact{Part: key, Backend: 2}, 6000, 9000))
+	assert.Assert(t, memory.RecordDispatch(start, Fact{Part: KeyOf("v2", "a"), Backend: 1}, 6000, 9000))
+	assert.Assert(t, !memory.RecordDispatch(start, Fact{Part: KeyOf("v1", "b"), Backend: 1}, 92, 383))
 }
 
 // TestHoldersAreForgotten believes nothing of a part that nobody asked for lately.
 func TestHoldersAreForgotten(t *testing.T) {
 	memory := New()
 	key := KeyOf("v1", "a")
-	memory.HasRead(start, Fact{Part: key, Backend: 1})
-	memory.Sent(start, Fact{Part: key, Backend: 2}, 1, 1)
+	memory.RecordRead(start, Fact{Part: key, Backend: 1})
+	memory.RecordDispatch(start, Fact{Part: key, Backend: 2}, 1, 1)
 	assert.DeepEqual(t, memory.Holders(start, key), Holders{Read: []uint64{1}, Reading: []uint64{2}})
 	assert.DeepEqual(t, memory.Holders(start.Add(readingTime+1), key), Holders{Read: []uint64{1}})
 	assert.DeepEqual(t, memory.Holders(start.Add(holderTime+1), key), Holders{})
@@ -39,17 +39,17 @@
 func TestFactsReachAnotherMemory(t *testing.T) {
 	teller, hearer := New(), New()
 	key := KeyOf("v1", "a")
-	teller.Sent(start, Fact{Part: key, Backend: 4}, 1, 1)
-	hearer.Heard(start, teller.Untold())
+	teller.RecordDispatch(start, Fact{Part: key, Backend: 4}, 1, 1)
+	hearer.Merge(start, teller.DrainPending())
 	assert.DeepEqual(t, hearer.Holders(start, key), Holders{Reading: []uint64{4}})
-	teller.HasRead(start, Fact{Part: key, Backend: 4})
-	hearer.Heard(start, teller.Untold())
+	teller.RecordRead(start, Fact{Part: key, Backend: 4})
+	hearer.Merge(start, teller.DrainPending())
 	assert.DeepEqual(t, hearer.Holders(start, key), Holders{Read: []uint64{4}})
-	hearer.Sent(start, Fact{Part: key, Backend: 4}, 1, 1)
-	hearer.Untold()
+	hearer.RecordDispatch(start, Fact{Part: key, Backend: 4}, 1, 1)
+	hearer.DrainPending()
 	assert.DeepEqual(t, hearer.Holders(start, key), Holders{Read: []uint64{4}})
-	assert.Equal(t, len(teller.Untold()), 0)
-	assert.Equal(t, len(hearer.Untold()), 0)
+	assert.Equal(t, len(teller.DrainPending()), 0)
+	assert.Equal(t, len(hearer.DrainPending()), 0)
 }
 
 // TestMemoryIsBounded compares the memory with a list of everything: what it still
@@ -62,7 +62,7 @@
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			key := Key(rapid.Uint64Range(1, 8).Draw(t, "part"))
 			backend := rapid.Uint64Range(1, 5).Draw(t, "backend")
-			memory.Sent(start, Fact{Part: key, Backend: backend}, 1, 1)
+			memory.RecordDispatch(start, Fact{Part: key, Backend: backend}, 1, 1)
 			others := slices.DeleteFunc(truth[key], func(known uint64) bool { return known == backend })
 			truth[key] = append([]uint64{backend}, others...)
 			assert.Assert(t, len(memory.records) <= memory.capacity)
@@ -80,21 +80,21 @@
 func TestDroppedPartsAreForgotten(t *testing.T) {
 	memory, now := New(), time.Now()
 	fact := Fact{Part: 7, Backend: 3, Tokens: 900}
-	memory.HasRead(now, fact)
-	memory.Untold()
-	memory.HasDropped(now.Add(eventTime/2), fact)
+	memory.RecordRead(now, fact)
+	memory.DrainPending()
+	memory.RecordDrop(now.Add(eventTime/2), fact)
 	assert.Equal(t, len(memory.Holders(now, 7).Read), 1, "the drop was before the request")
-	memory.HasDropped(now.Add(2*eventTime), fact)
+	memory.RecordDrop(now.Add(2*eventTime), fact)
 	assert.Equal(t, len(memory.Holders(now, 7).Read), 0)
-	told := memory.Untold()
+	told := memory.DrainPending()
 	assert.Equal(t, len(told), 1)
 	assert.Assert(t, told[0].Dropped)
 	other := New()
-	other.HasRead(now, fact)
-	other.Heard(now.Add(2*eventTime), told)
+	other.RecordRead(now, fact)
+	other.Merge(now.Add(2*eventTime), told)
 	assert.Equal(t, len(other.Holders(now, 7).Read), 0)
-	memory.HasDropped(now.Add(3*eventTime), fact)
-	assert.Equal(t, len(memory.Untold()), 0, "what is not known needs no telling")
+	memory.RecordDrop(now.Add(3*eventTime), fact)
+	assert.Equal(t, len(memory.DrainPending()), 0, "what is not known needs no telling")
 }
 
 // TestDropsOfLargePartsAreForAll tells all daemons that a large part was dropped, as they were
@@ -102,11 +102,11 @@
 func TestDropsOfLargePartsAreForAll(t *testing.T) {
 	for tokens, forAll := range map[int]bool{LargeTokens: true, LargeTokens - 1: false} {
 		memory, now := New(), time.Unix(1000, 0)
-		memory.Holds(now, Fact{Part: 1, Backend: 2, Tokens: tokens})
-		memory.HasDropped(now.Add(2*eventTime), Fact{Part: 1, Backend: 2, Tokens: 16})
-		told := memory.Untold()
+		memory.RecordHeld(now, Fact{Part: 1, Backend: 2, Tokens: tokens})
+		memory.RecordDrop(now.Add(2*eventTime), Fact{Part: 1, Backend: 2, Tokens: 16})
+		told := memory.DrainPending()
 		assert.Equal(t, len(told), 1)
 		assert.Assert(t, told[0].Dropped)
-		assert.Equal(t, told[0].ForAll(), forAll)
+		assert.Equal(t, told[0].IsBroadcast(), forAll)
 	}
 }
--- a/internal/loadhome/loadhome.go
+++ b/internal/loadhome/loadhome.go
@@ -42,7 +42,7 @@
 	Others func() []string
 	Pool   *backendpool.Pool
 	// Memory remembers where parts of prompts are.
-	Memory   *promptcache.Memory
+	Memory   *promptcache.Index
 	Presence *presence.List
 	// Zone returns the zone of a daemon, by its address; empty is unknown. Nil knows none.
 	Zone func(address string) identity.Zone
--- a/internal/loadhome/parts.go
+++ b/internal/loadhome/parts.go
@@ -74,7 +74,7 @@
 	for index, sent := range got.Facts {
 		facts[index] = promptcache.Fact{Part: promptcache.Key(sent.Part), Backend: sent.Backend, Read: sent.Read, Dropped: sent.Dropped}
 	}
-	h.options.Memory.Heard(clock.Now(), facts)
+	h.options.Memory.Merge(clock.Now(), facts)
 }
 
 // RefreshParts asks the homes of parts where these are, and remembers it. It goes on with what is known where answers
@@ -110,7 +110,7 @@
 			}
 		}
 	}
-	h.options.Memory.Heard(clock.Now(), facts)
+	h.options.Memory.Merge(clock.Now(), facts)
 }
 
 // hearPartQuestion answers another daemon.
--- a/internal/loadhome/parts_test.go
+++ b/internal/loadhome/parts_test.go
@@ -28,7 +28,7 @@
 			}
 			for number, daemon := range fleet.daemons {
 				for part := range each {
-					daemon.homes.options.Memory.HasRead(time.Now(), fact(number, part))
+					daemon.homes.options.Memory.RecordRead(time.Now(), fact(number, part))
 					daemon.homes.NoteParts([]promptcache.Fact{fact(number, part)})
 				}
 			}
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -115,7 +115,7 @@
 	// Others returns the addresses of the other daemons.
 	Others func() []string
 	Pool   *backendpool.Pool
-	Memory *promptcache.Memory
+	Memory *promptcache.Index
 	// TellHomes tells homes of parts of prompts where these are, among more than MaximumTold others; nil tells all.
 	TellHomes func(facts []promptcache.Fact)
 }
@@ -167,7 +167,7 @@
 	}
 	s.options.Pool.SetOthersLoad(s.merge(now), true)
 	loads := s.options.Pool.Loads(MaximumLoads)
-	facts, doubts := s.options.Memory.Untold(), s.options.Pool.Doubts()
+	facts, doubts := s.options.Memory.DrainPending(), s.options.Pool.Doubts()
 	if len(facts)+len(doubts) == 0 && slices.Equal(loads, s.told) && now.Sub(s.toldAt) < idleInterval {
 		return
 	}
@@ -178,7 +178,7 @@
 // shareAmongMany tells of parts and doubts alone; package loadhome is for the loads then. A
 // few other daemons hear each turn that this one is there.
 func (s *Sharer) shareAmongMany(now time.Time) {
-	large, few := split(s.options.Memory.Untold())
+	large, few := split(s.options.Memory.DrainPending())
 	doubts := s.options.Pool.Doubts()
 	if len(s.options.Others()) > MaximumTold && s.options.TellHomes != nil {
 		s.options.TellHomes(large)
@@ -191,7 +191,7 @@
 // split parts facts into those of large parts, for all daemons, and those for a few.
 func split(facts []promptcache.Fact) (large, few []promptcache.Fact) {
 	for _, fact := range facts {
-		if fact.ForAll() {
+		if fact.IsBroadcast() {
 			large = append(large, fact)
 		} else {
 			few = append(few, fact)
@@ -239,7 +239,7 @@
 // receiveFacts hears of parts and doubts alone.
 func (s *Sharer) receiveFacts(from string, got message) {
 	now := clock.Now()
-	s.options.Memory.Heard(now, got.facts())
+	s.options.Memory.Merge(now, got.facts())
 	s.options.Pool.HearDoubts(now, from, got.Doubts)
 }
 
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -21,7 +21,7 @@
 // daemon is a sharer with its pool and memory.
 type daemon struct {
 	pool   *backendpool.Pool
-	memory *promptcache.Memory
+	memory *promptcache.Index
 	cancel context.CancelFunc
 }
 
@@ -57,7 +57,7 @@
 	now := time.Now()
 	taken := one.pool.Pick(now, heavy)
 	key := promptcache.KeyOf("v1", "part")
-	one.memory.Sent(now, promptcache.Fact{Part: key, Backend: taken.Key}, 1, 1)
+	one.memory.RecordDispatch(now, promptcache.Fact{Part: key, Backend: taken.Key}, 1, 1)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		ticket := two.pool.Pick(time.Now(), heavy)
 		defer ticket.Release(time.Now(), backendpool.ResultServed)
@@ -135,7 +135,7 @@
 	var keys []promptcache.Key
 	for index := range parts {
 		key := promptcache.KeyOf("v1", fmt.Sprint("part", index))
-		one.memory.HasRead(time.Now(), promptcache.Fact{Part: key, Backend: 7, Tokens: 4000})
+		one.memory.RecordRead(time.Now(), promptcache.Fact{Part: key, Backend: 7, Tokens: 4000})
 		one.pool.Pick(time.Now(), backendpool.Query{Service: "s"}) // a load that changes
 		keys = append(keys, key)
 		time.Sleep(50 * time.Millisecond)
--- a/internal/relay/caching.go
+++ b/internal/relay/caching.go
@@ -115,7 +115,7 @@
 		dispatch.FetchFrom = r.fetchFrom(now, admitted, ticket, store)
 	}
 	fact := promptcache.Fact{Part: deepest.key, Backend: ticket.Key, Tokens: deepest.tokens}
-	worthSaving := r.options.Memory.Sent(now, fact, deepest.tokens, total)
+	worthSaving := r.options.Memory.RecordDispatch(now, fact, deepest.tokens, total)
 	stored := store != nil && r.stored(store, deepest, r.options.Memory.Holders(now, deepest.key))
 	if worthSaving && store != nil && !stored && r.maySave(now, admitted, store, total) {
 		dispatch.SaveTo = store.Address
@@ -216,10 +216,10 @@
 	now := r.options.Now()
 	for _, shared := range r.levels(admitted, ticket.Version) {
 		fact := promptcache.Fact{Part: shared.key, Backend: ticket.Key, Tokens: shared.tokens}
-		r.options.Memory.HasRead(now, fact)
+		r.options.Memory.RecordRead(now, fact)
 		if savedTo != "" {
 			fact.Backend = rendezvous.Key(savedTo)
-			r.options.Memory.HasRead(now, fact)
+			r.options.Memory.RecordRead(now, fact)
 		}
 	}
 }
--- a/internal/relay/choosing_test.go
+++ b/internal/relay/choosing_test.go
@@ -401,7 +401,7 @@
 	versions.stable = "v2"
 	prompt := &Prompt{Model: "m", Parts: []Part{{ID: "shared", Tokens: 4000}, {ID: "own", Tokens: 100}}}
 	fact := promptcache.Fact{Part: promptcache.KeyOf("v1", "shared"), Backend: keyOf("b0"), Tokens: 4000}
-	world.relay.options.Memory.HasRead(time.Now(), fact)
+	world.relay.options.Memory.RecordRead(time.Now(), fact)
 	world.ask(func(request *Request) { request.Prompt = prompt })
 	dispatch := world.backends.dispatches[0]
 	assert.Equal(t, dispatch.Backend, identity.BackendID("b1"))
--- a/internal/relay/regions_test.go
+++ b/internal/relay/regions_test.go
@@ -157,7 +157,7 @@
 		world, rooms := newRegions(streamingRoute, "a", "b")
 		rooms.told = []roomshare.RoomReport{told("region-b", 4)}
 		key := promptcache.KeyOf(cacheSalt(1, nil), "a")
-		world.relay.options.Memory.Holds(time.Now(), promptcache.Fact{Part: key, Backend: rendezvous.Key("b1"), Tokens: tokens})
+		world.relay.options.Memory.RecordHeld(time.Now(), promptcache.Fact{Part: key, Backend: rendezvous.Key("b1"), Tokens: tokens})
 		caller := world.ask(func(request *Request) {
 			request.Prompt = &Prompt{Model: "m", Parts: []Part{{ID: "a", Tokens: tokens}, {ID: "b", Tokens: 3000}}}
 		})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -43,7 +43,7 @@
 	Budgets  *Budgets
 	Policy   Policy
 	// Memory remembers where shared parts of prompts went.
-	Memory *promptcache.Memory
+	Memory *promptcache.Index
 	// Stores returns what the store of prompt caches at an address is believed to hold.
 	Stores func(address string) *cachewatch.Cache
 	// Daemons returns how many daemons there may be.
