--- a/cmd/internal/daemon/caches.go
+++ b/cmd/internal/daemon/caches.go
@@ -40,7 +40,7 @@
 
 // observeCache takes in what the cache of a back end holds and what it dropped.
 func (w *Daemon) observeCache(target cachewatch.Target, page cachewatch.Page) {
-	if id := identity.BackendID(target.Name); !id.IsLifeOf(page.Incarnation) {
+	if id := identity.BackendID(target.Name); !id.MatchesIncarnation(page.Incarnation) {
 		w.backends.Ended(id) // the events are of its next life
 		return
 	}
--- a/internal/core/identity/backend.go
+++ b/internal/core/identity/backend.go
@@ -50,9 +50,9 @@
 	return BackendName(id[:mark]), Incarnation(incarnation)
 }
 
-// IsLifeOf tells whether this may be the life of which the back end itself tells its incarnation: zero,
+// MatchesIncarnation tells whether this may be the life of which the back end itself tells its incarnation: zero,
 // where it tells none, says nothing.
-func (id BackendID) IsLifeOf(incarnation Incarnation) bool {
+func (id BackendID) MatchesIncarnation(incarnation Incarnation) bool {
 	known := id.Incarnation()
 	return known == 0 || incarnation == 0 || known == incarnation
 }
--- a/internal/core/identity/backend_test.go
+++ b/internal/core/identity/backend_test.go
@@ -26,10 +26,10 @@
 func TestUnknownIncarnationsContradictNothing(t *testing.T) {
 	known, unknown := NewBackendID("b", 7), NewBackendID("b", 0)
 	assert.Equal(t, unknown, BackendID("b"))
-	assert.Assert(t, known.IsLifeOf(7))
-	assert.Assert(t, !known.IsLifeOf(8))
-	assert.Assert(t, known.IsLifeOf(0))
-	assert.Assert(t, unknown.IsLifeOf(8))
+	assert.Assert(t, known.MatchesIncarnation(7))
+	assert.Assert(t, !known.MatchesIncarnation(8))
+	assert.Assert(t, known.MatchesIncarnation(0))
+	assert.Assert(t, unknown.MatchesIncarnation(8))
 }
 
 // BenchmarkName takes the name out of a life's ID, as each look into the list of back ends does: 57 ns.
--- a/internal/weightupdate/keeper.go
+++ b/internal/weightupdate/keeper.go
@@ -370,7 +370,7 @@
 	bounded, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	report, err := k.options.Orders.Report(bounded, backend)
-	if err == nil && !backend.ID.IsLifeOf(report.Incarnation) {
+	if err == nil && !backend.ID.MatchesIncarnation(report.Incarnation) {
 		k.options.Pool.Ended(backend.ID)
 		return Report{}, &EndedError{Backend: backend.ID, Later: report.Incarnation}
 	}
