--- a/cmd/internal/daemon/memory.go
+++ b/cmd/internal/daemon/memory.go
@@ -52,7 +52,7 @@
 		Help: "Callers' requests and connections that were ended for reading or sending slowly, by the bound that was reached (daemon, tenant, expired).",
 	}, []string{"bound"})
 	log, lines := w.part("memory"), rate.NewLimiter(evictionLineRate, evictionLineRate)
-	w.ledger = buffers.NewLedger(heldLimits(w.settings.Limits.MemoryMb), func(ended buffers.Ended) {
+	w.ledger = buffers.NewTracker(heldLimits(w.settings.Limits.MemoryMb), func(ended buffers.Eviction) {
 		evictions.WithLabelValues(string(ended.Scope)).Inc()
 		if lines.Allow() {
 			log.WithFields(logrus.Fields{
--- a/cmd/internal/daemon/serving.go
+++ b/cmd/internal/daemon/serving.go
@@ -44,11 +44,11 @@
 	stopping atomic.Bool
 	stopped  chan struct{}
 	// ledger accounts for what is held for callers.
-	ledger *buffers.Ledger
+	ledger *buffers.Tracker
 	log    logrus.FieldLogger
 }
 
-func newServing(settings platform.Settings, relaying *relay.Relay, known *directory.Directory, informed func() bool, ledger *buffers.Ledger, log logrus.FieldLogger) *serving {
+func newServing(settings platform.Settings, relaying *relay.Relay, known *directory.Directory, informed func() bool, ledger *buffers.Tracker, log logrus.FieldLogger) *serving {
 	made := &serving{settings: settings, directory: known, informed: informed, ledger: ledger, log: log, stopped: make(chan struct{})}
 	made.addCallers(settings.Listen.Front, platform.NewFront(relaying, made.maximumBody, made.stopping.Load, ledger))
 	made.addOperators(settings.Listen.Ready, platform.ReadyHandler(made.isReady))
--- a/cmd/internal/daemon/wire.go
+++ b/cmd/internal/daemon/wire.go
@@ -81,7 +81,7 @@
 	limits       *sharedlimit.Limiter
 	prober       *prober.Prober
 	crashes      *crashwatch.Watcher
-	ledger       *buffers.Ledger
+	ledger       *buffers.Tracker
 	serving      *serving
 	keeper       *leasekeeper.Keeper
 	// rollouts is nil where the settings offer none.
--- a/internal/callerio/callerio.go
+++ b/internal/callerio/callerio.go
@@ -32,7 +32,7 @@
 
 // Open begins to account for a request. Close must follow before its handler returns. Without a ledger nothing is
 // accounted for.
-func Open(ledger *buffers.Ledger, writer http.ResponseWriter) *Exchange {
+func Open(ledger *buffers.Tracker, writer http.ResponseWriter) *Exchange {
 	made := &Exchange{controller: http.NewResponseController(writer)}
 	if ledger != nil {
 		made.Account = ledger.Open(made.breakOff)
@@ -75,8 +75,8 @@
 	}
 	now := clock.Now()
 	e.Account.SetDeadline(now.Add(patience))
-	e.Account.Waits(now)
-	defer e.Account.Ready()
+	e.Account.StartWaiting(now)
+	defer e.Account.StopWaiting()
 	return e.readAll(http.MaxBytesReader(writer, incoming.Body, most), incoming.ContentLength)
 }
 
@@ -93,7 +93,7 @@
 		}
 		count, err := reader.Read(body[len(body):cap(body)])
 		body = body[:len(body)+count]
-		e.Account.Moved(int64(count))
+		e.Account.RecordProgress(int64(count))
 		if err == io.EOF && length > int64(len(body)) {
 			return nil, io.ErrUnexpectedEOF
 		}
@@ -112,7 +112,7 @@
 	if length >= 0 {
 		size = min(size, length)
 	}
-	if err := e.Account.Hold(clock.Now(), size-int64(cap(body))); err != nil {
+	if err := e.Account.Reserve(clock.Now(), size-int64(cap(body))); err != nil {
 		return nil, err
 	}
 	grown := make([]byte, len(body), size)
--- a/internal/callerio/listener.go
+++ b/internal/callerio/listener.go
@@ -24,13 +24,13 @@
 // Listener accounts for the connections of a listener.
 type Listener struct {
 	net.Listener
-	ledger *buffers.Ledger
+	ledger *buffers.Tracker
 	log    logrus.FieldLogger
 	lines  *rate.Limiter
 }
 
 // NewListener accounts for a listener's connections in a ledger.
-func NewListener(listener net.Listener, ledger *buffers.Ledger, log logrus.FieldLogger) *Listener {
+func NewListener(listener net.Listener, ledger *buffers.Tracker, log logrus.FieldLogger) *Listener {
 	return &Listener{Listener: listener, ledger: ledger, log: log, lines: rate.NewLimiter(refusedLineRate, refusedLineRate)}
 }
 
@@ -50,9 +50,9 @@
 		limitSocket(accepted)
 		made := &connection{Conn: accepted, account: l.ledger.Open(func() { _ = accepted.Close() })}
 		now := clock.Now()
-		err = made.account.Hold(now, connectionBytes)
+		err = made.account.Reserve(now, connectionBytes)
 		if err == nil {
-			made.account.Waits(now) // for its first request
+			made.account.StartWaiting(now) // for its first request
 			return made, nil
 		}
 		if l.lines.Allow() {
@@ -85,9 +85,9 @@
 	}
 	switch state {
 	case http.StateActive:
-		known.account.Ready()
+		known.account.StopWaiting()
 	case http.StateIdle:
-		known.account.Waits(clock.Now())
+		known.account.StartWaiting(clock.Now())
 	case http.StateClosed, http.StateHijacked:
 		known.account.Close()
 	}
--- a/internal/core/buffers/buffers.go
+++ b/internal/core/buffers/buffers.go
@@ -64,8 +64,8 @@
 	return fmt.Sprintf("%d bytes are held, of %d for a %s", e.Held, e.Limit, e.Scope)
 }
 
-// Ended says that an exchange was ended: to make room, or since its time is over.
-type Ended struct {
+// Eviction says that an exchange was ended: to make room, or since its time is over.
+type Eviction struct {
 	Scope  Scope
 	Tenant identity.TenantName
 	// Held is what was held for it, in bytes; Waited is for how long its peer had kept the daemon waiting, and Moved how
@@ -90,11 +90,11 @@
 	Held   int64
 }
 
-// Ledger accounts for what is held. It is safe for use by several goroutines.
-type Ledger struct {
+// Tracker accounts for what is held. It is safe for use by several goroutines.
+type Tracker struct {
 	limits Limits
 	// ended is told, without the mutex, of each exchange that was ended to make room.
-	ended func(Ended)
+	ended func(Eviction)
 
 	mutex    sync.Mutex
 	held     int64
@@ -102,17 +102,17 @@
 	open     map[*Exchange]bool
 }
 
-// NewLedger makes an empty ledger. Ended is told of each exchange that is ended to make room; nil is not. It must not
+// NewTracker makes an empty ledger. Ended is told of each exchange that is ended to make room; nil is not. It must not
 // block.
-func NewLedger(limits Limits, ended func(Ended)) *Ledger {
+func NewTracker(limits Limits, ended func(Eviction)) *Tracker {
 	if ended == nil {
-		ended = func(Ended) {}
+		ended = func(Eviction) {}
 	}
-	return &Ledger{limits: limits, ended: ended, byTenant: map[identity.TenantName]int64{}, open: map[*Exchange]bool{}}
+	return &Tracker{limits: limits, ended: ended, byTenant: map[identity.TenantName]int64{}, open: map[*Exchange]bool{}}
 }
 
 // Open begins to account for an exchange. End breaks it off; it is called at most once and must not block.
-func (l *Ledger) Open(end func()) *Exchange {
+func (l *Tracker) Open(end func()) *Exchange {
 	made := &Exchange{ledger: l, end: end}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -121,7 +121,7 @@
 }
 
 // add changes what is held for a tenant. The caller holds the mutex.
-func (l *Ledger) add(tenant identity.TenantName, bytes int64) {
+func (l *Tracker) add(tenant identity.TenantName, bytes int64) {
 	l.byTenant[tenant] += bytes
 	if l.byTenant[tenant] == 0 {
 		delete(l.byTenant, tenant)
@@ -130,12 +130,12 @@
 
 // victim is an exchange that is ended to make room.
 type victim struct {
-	Ended
+	Eviction
 	exchange *Exchange
 }
 
 // makeRoom ends exchanges until no more than a number of bytes is held, the slowest first. The caller holds the mutex.
-func (l *Ledger) makeRoom(now time.Time, scope Scope, most int64, held func() int64, among func(*Exchange) bool) []victim {
+func (l *Tracker) makeRoom(now time.Time, scope Scope, most int64, held func() int64, among func(*Exchange) bool) []victim {
 	if held() <= most {
 		return nil
 	}
@@ -160,8 +160,8 @@
 }
 
 // evict ends an exchange here. The caller holds the mutex, and breaks the exchange off afterwards.
-func (l *Ledger) evict(exchange *Exchange, scope Scope, pace pace) victim {
-	evicted := victim{exchange: exchange, Ended: Ended{
+func (l *Tracker) evict(exchange *Exchange, scope Scope, pace pace) victim {
+	evicted := victim{exchange: exchange, Eviction: Eviction{
 		Scope: scope, Tenant: exchange.tenant, Held: exchange.held, Moved: pace.moved, Waited: pace.waited,
 	}}
 	exchange.evicted = true
@@ -177,7 +177,7 @@
 
 // Check tells of exchanges whose peers keep the daemon waiting, and ends those whose time is over. It is to be called a
 // few times a second.
-func (l *Ledger) Check(now time.Time) {
+func (l *Tracker) Check(now time.Time) {
 	ended, stalls := l.check(now)
 	l.breakOff(ended)
 	for _, tell := range stalls {
@@ -185,7 +185,7 @@
 	}
 }
 
-func (l *Ledger) check(now time.Time) (ended []victim, stalls []func()) {
+func (l *Tracker) check(now time.Time) (ended []victim, stalls []func()) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for exchange := range l.open {
@@ -204,15 +204,15 @@
 }
 
 // breakOff breaks off what was ended, and tells of it. It is for callers without the mutex.
-func (l *Ledger) breakOff(ended []victim) {
+func (l *Tracker) breakOff(ended []victim) {
 	for _, each := range ended {
 		each.exchange.end()
-		l.ended(each.Ended)
+		l.ended(each.Eviction)
 	}
 }
 
 // close is for callers that hold the mutex.
-func (l *Ledger) close(exchange *Exchange) {
+func (l *Tracker) close(exchange *Exchange) {
 	if exchange.closed {
 		return
 	}
@@ -223,7 +223,7 @@
 }
 
 // Usage returns what is held now.
-func (l *Ledger) Usage() Usage {
+func (l *Tracker) Usage() Usage {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	usage := Usage{Held: l.held, Limit: l.limits.Total, Exchanges: len(l.open)}
--- a/internal/core/buffers/buffers_test.go
+++ b/internal/core/buffers/buffers_test.go
@@ -18,14 +18,14 @@
 
 // world is a ledger with what was ended.
 type world struct {
-	ledger *buffers.Ledger
-	ended  []buffers.Ended
+	ledger *buffers.Tracker
+	ended  []buffers.Eviction
 	broken map[string]bool
 }
 
 func newWorld(limits buffers.Limits) *world {
 	made := &world{broken: map[string]bool{}}
-	made.ledger = buffers.NewLedger(limits, func(ended buffers.Ended) { made.ended = append(made.ended, ended) })
+	made.ledger = buffers.NewTracker(limits, func(ended buffers.Eviction) { made.ended = append(made.ended, ended) })
 	return made
 }
 
@@ -39,22 +39,22 @@
 	w := newWorld(buffers.Limits{Total: 100 * kilobyte})
 	silent, trickling, healthy := w.open("silent", "a"), w.open("trickling", "a"), w.open("healthy", "b")
 	for _, exchange := range []*buffers.Exchange{silent, trickling, healthy} {
-		assert.NilError(t, exchange.Hold(start, 30*kilobyte))
-		exchange.Waits(start)
+		assert.NilError(t, exchange.Reserve(start, 30*kilobyte))
+		exchange.StartWaiting(start)
 	}
 	now := start.Add(10 * time.Second)
-	trickling.Moved(kilobyte)
-	healthy.Moved(400 * kilobyte)
+	trickling.RecordProgress(kilobyte)
+	healthy.RecordProgress(400 * kilobyte)
 
 	late := w.open("late", "c")
-	assert.NilError(t, late.Hold(now, 30*kilobyte))
+	assert.NilError(t, late.Reserve(now, 30*kilobyte))
 	assert.DeepEqual(t, w.broken, map[string]bool{"silent": true})
 	assert.Assert(t, silent.Evicted())
-	assert.NilError(t, late.Hold(now, 30*kilobyte))
+	assert.NilError(t, late.Reserve(now, 30*kilobyte))
 	assert.DeepEqual(t, w.broken, map[string]bool{"silent": true, "trickling": true})
 
 	var full *buffers.FullError
-	err := late.Hold(now, 30*kilobyte)
+	err := late.Reserve(now, 30*kilobyte)
 	assert.Assert(t, errors.As(err, &full) && full.Scope == buffers.ScopeTotal, "%v", err)
 	assert.Assert(t, !w.broken["healthy"])
 }
@@ -65,32 +65,32 @@
 	var err error
 	for count := 0; err == nil; count++ {
 		upload := w.open("upload", "a")
-		upload.Waits(start)
-		err = upload.Hold(start, 100*kilobyte)
+		upload.StartWaiting(start)
+		err = upload.Reserve(start, 100*kilobyte)
 		assert.Assert(t, count < 10)
 	}
 	for range 50 {
-		assert.NilError(t, w.open("small", "a").Hold(start, 4*kilobyte))
+		assert.NilError(t, w.open("small", "a").Reserve(start, 4*kilobyte))
 	}
 }
 
 func TestTenantsSlowCallersCostNoOtherTenant(t *testing.T) {
 	w := newWorld(buffers.Limits{Total: 100 * kilobyte, PerTenant: 40 * kilobyte})
 	other := w.open("other", "b")
-	assert.NilError(t, other.Hold(start, 20*kilobyte))
-	other.Waits(start)
+	assert.NilError(t, other.Reserve(start, 20*kilobyte))
+	other.StartWaiting(start)
 	now := start.Add(time.Minute)
 	first := w.open("first", "a")
-	assert.NilError(t, first.Hold(now, 40*kilobyte))
+	assert.NilError(t, first.Reserve(now, 40*kilobyte))
 
 	second := w.open("second", "a")
 	var full *buffers.FullError
-	err := second.Hold(now, kilobyte)
+	err := second.Reserve(now, kilobyte)
 	assert.Assert(t, errors.As(err, &full) && full.Scope == buffers.ScopeTenant, "%v", err)
 	assert.Equal(t, len(w.broken), 0)
 
-	first.Waits(now)
-	assert.NilError(t, second.Hold(now.Add(3*time.Second), kilobyte))
+	first.StartWaiting(now)
+	assert.NilError(t, second.Reserve(now.Add(3*time.Second), kilobyte))
 	assert.DeepEqual(t, w.broken, map[string]bool{"first": true})
 	assert.Equal(t, w.ended[0].Scope, buffers.ScopeTenant)
 }
@@ -99,7 +99,7 @@
 	w := newWorld(buffers.Limits{})
 	exchange := w.open("gone", "a")
 	exchange.SetDeadline(start.Add(10 * time.Second))
-	exchange.Waits(start)
+	exchange.StartWaiting(start)
 	stalls := 0
 	exchange.OnStall(func() { stalls++ })
 	for second := range 10 {
@@ -107,7 +107,7 @@
 	}
 	assert.Equal(t, stalls, 1)
 	assert.Equal(t, len(w.ended), 0)
-	exchange.Moved(1 << 20) // enough for a while
+	exchange.RecordProgress(1 << 20) // enough for a while
 	w.ledger.Check(start.Add(12 * time.Second))
 	assert.Equal(t, len(w.ended), 0)
 	w.ledger.Check(start.Add(2 * time.Minute))
@@ -169,7 +169,7 @@
 				}
 				bytes := rapid.Int64Range(1, 60).Draw(t, "bytes") * kilobyte
 				before := live()
-				err := asked.exchange.Hold(now, bytes)
+				err := asked.exchange.Reserve(now, bytes)
 				for _, each := range before {
 					if each.exchange.Evicted() && (each == asked || !each.slow(now)) {
 						t.Fatalf("%s was ended and isn't slow", each.name)
@@ -197,7 +197,7 @@
 			},
 			"wait": func(*rapid.T) {
 				if asked := drawn(); asked != nil {
-					asked.exchange.Waits(now)
+					asked.exchange.StartWaiting(now)
 					if asked.waiting.IsZero() {
 						asked.waiting, asked.moved = now, 0
 					}
@@ -206,13 +206,13 @@
 			"move": func(t *rapid.T) {
 				if asked := drawn(); asked != nil {
 					bytes := rapid.Int64Range(1, 100*kilobyte).Draw(t, "bytes")
-					asked.exchange.Moved(bytes)
+					asked.exchange.RecordProgress(bytes)
 					asked.moved += bytes
 				}
 			},
 			"ready": func(*rapid.T) {
 				if asked := drawn(); asked != nil {
-					asked.exchange.Ready()
+					asked.exchange.StopWaiting()
 					asked.waiting = time.Time{}
 				}
 			},
--- a/internal/core/buffers/exchange.go
+++ b/internal/core/buffers/exchange.go
@@ -8,7 +8,7 @@
 
 // Exchange is one request with its answer, or one connection. A nil Exchange accounts for nothing.
 type Exchange struct {
-	ledger *Ledger
+	ledger *Tracker
 	// end breaks it off.
 	end func()
 	// progress is how the peer goes on. It has a mutex of its own, taken after the ledger's: each piece of an answer
@@ -38,9 +38,9 @@
 	e.ledger.add(tenant, e.held)
 }
 
-// Hold accounts for more bytes. Where that is beyond a bound, others are ended that have kept the daemon waiting for
+// Reserve accounts for more bytes. Where that is beyond a bound, others are ended that have kept the daemon waiting for
 // longest. It fails with *FullError where that isn't enough; nothing more is accounted for then.
-func (e *Exchange) Hold(now time.Time, bytes int64) error {
+func (e *Exchange) Reserve(now time.Time, bytes int64) error {
 	if e == nil {
 		return nil
 	}
@@ -104,8 +104,8 @@
 	e.ledger.add(e.tenant, -bytes)
 }
 
-// Waits notes that the peer keeps the daemon waiting from now on, to take bytes or to give some.
-func (e *Exchange) Waits(now time.Time) {
+// StartWaiting notes that the peer keeps the daemon waiting from now on, to take bytes or to give some.
+func (e *Exchange) StartWaiting(now time.Time) {
 	if e == nil {
 		return
 	}
@@ -116,8 +116,8 @@
 	}
 }
 
-// Moved notes that the peer has taken or given some bytes.
-func (e *Exchange) Moved(bytes int64) {
+// RecordProgress notes that the peer has taken or given some bytes.
+func (e *Exchange) RecordProgress(bytes int64) {
 	if e == nil {
 		return
 	}
@@ -126,8 +126,8 @@
 	e.progress.moved += bytes
 }
 
-// Ready notes that the peer has taken or given all there is.
-func (e *Exchange) Ready() {
+// StopWaiting notes that the peer has taken or given all there is.
+func (e *Exchange) StopWaiting() {
 	if e == nil {
 		return
 	}
--- a/internal/openai/handler.go
+++ b/internal/openai/handler.go
@@ -42,7 +42,7 @@
 	// Stopping tells whether callers are to use another connection next time.
 	Stopping func() bool
 	// Ledger accounts for what is held for callers; nil is none.
-	Ledger *buffers.Ledger
+	Ledger *buffers.Tracker
 }
 
 // Handler serves callers. It is safe for use by several goroutines.
--- a/internal/openai/memory_test.go
+++ b/internal/openai/memory_test.go
@@ -42,7 +42,7 @@
 		Control:     noControl{},
 		MaximumBody: func() int64 { return 1 << 20 },
 		Stopping:    func() bool { return false },
-		Ledger:      buffers.NewLedger(buffers.Limits{Total: 1}, nil),
+		Ledger:      buffers.NewTracker(buffers.Limits{Total: 1}, nil),
 	})
 	request := httptest.NewRequest(http.MethodPost, PathCompletions, strings.NewReader(`{"model":"m","prompt":"p"}`))
 	request.Header.Set("Content-Type", "application/json")
--- a/internal/relay/readahead.go
+++ b/internal/relay/readahead.go
@@ -134,7 +134,7 @@
 func (a *readAhead) hold() bool {
 	a.mutex.Unlock()
 	defer a.mutex.Lock()
-	return a.account.Hold(a.now(), readAheadPiece) == nil
+	return a.account.Reserve(a.now(), readAheadPiece) == nil
 }
 
 // put takes in a piece for which there is room.
@@ -164,14 +164,14 @@
 // write gives the caller a piece of the answer, and notes how fast it takes it.
 func (r *run) write(piece []byte) error {
 	account := r.admitted.request.Account
-	account.Waits(r.now())
-	defer account.Ready()
+	account.StartWaiting(r.now())
+	defer account.StopWaiting()
 	for len(piece) > 0 {
 		part := piece[:min(len(piece), writtenPiece)]
 		if err := r.caller.Write(part); err != nil {
 			return err
 		}
-		account.Moved(int64(len(part)))
+		account.RecordProgress(int64(len(part)))
 		piece = piece[len(part):]
 	}
 	return nil
@@ -180,8 +180,8 @@
 // flush hands what was written to the network, and notes how long that takes.
 func (r *run) flush() error {
 	account := r.admitted.request.Account
-	account.Waits(r.now())
-	defer account.Ready()
+	account.StartWaiting(r.now())
+	defer account.StopWaiting()
 	return r.caller.Flush()
 }
 
--- a/internal/relay/readahead_test.go
+++ b/internal/relay/readahead_test.go
@@ -46,7 +46,7 @@
 // slowWorld is a relay whose only back end streams what is written to a pipe.
 type slowWorld struct {
 	*world
-	ledger *buffers.Ledger
+	ledger *buffers.Tracker
 	caller *stallingCaller
 	body   *io.PipeWriter
 	done   chan struct{}
@@ -71,7 +71,7 @@
 // newSlowWorld begins a stream to a caller. The ledger looks for slow callers all the time.
 func newSlowWorld(t interface{ Cleanup(func()) }, limits buffers.Limits) *slowWorld {
 	made := &slowWorld{
-		world: newWorld(routing.Route{Kind: routing.KindStreaming, MaxAttempts: 2, Resumable: true, GapTarget: 100 * time.Millisecond}, 1, 10), ledger: buffers.NewLedger(limits, nil),
+		world: newWorld(routing.Route{Kind: routing.KindStreaming, MaxAttempts: 2, Resumable: true, GapTarget: 100 * time.Millisecond}, 1, 10), ledger: buffers.NewTracker(limits, nil),
 		caller: &stallingCaller{}, done: make(chan struct{}),
 	}
 	var reader *io.PipeReader
--- a/internal/relay/whole.go
+++ b/internal/relay/whole.go
@@ -96,7 +96,7 @@
 // Write implements io.Writer. A piece for which there is no room is written, as it has been read, and fails.
 func (w accountedWriter) Write(piece []byte) (int, error) {
 	w.buffer.Write(piece)
-	return len(piece), w.run.admitted.request.Account.Hold(w.run.now(), int64(len(piece)))
+	return len(piece), w.run.admitted.request.Account.Reserve(w.run.now(), int64(len(piece)))
 }
 
 // callerWriter writes to a caller as an io.Writer.
