--- a/internal/core/lease/acting_test.go
+++ b/internal/core/lease/acting_test.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	testActWithin = testDuration / 2
-	// testRest must lie between acts of different daemons.
-	testRest = testDuration * 14 / 10
+	testActWindow = testDuration / 2
+	// testHandoverDelay must lie between actions of different daemons.
+	testHandoverDelay = testDuration * 14 / 10
 )
 
-// TestActsOfHoldersLieApart lets holders with clocks of different rates act under
-// pauses, cuts, restarts, releases and outages: between acts of two daemons there is
-// always a time, whether the one before lapsed, released or had been idle.
-func TestActsOfHoldersLieApart(t *testing.T) {
+// TestActsOfHoldersAreSeparated runs holders whose clocks have different rates through pauses,
+// lost calls, restarts, releases and outages. Actions of two daemons must always be separated by
+// the handover delay, whether the previous lease expired, was released or was idle.
+func TestActsOfHoldersAreSeparated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
-		for _, one := range w.participants {
-			one.machine.settings.ActWindow, one.machine.settings.HandoverDelay = testActWithin, testRest
+		c := newCluster(t)
+		for _, one := range c.participants {
+			one.machine.settings.ActWindow, one.machine.settings.HandoverDelay = testActWindow, testHandoverDelay
 		}
 		var lastActor identity.DaemonID
 		lastAct := time.Duration(0)
 		eager := true
 		step := func(t *rapid.T, fates []fate) {
-			w.round(t, fates)
-			for index, one := range w.participants {
-				now := w.now(one)
+			c.round(t, fates)
+			for index, one := range c.participants {
+				now := c.now(one)
 				if fates[index] == paused {
 					continue
 				}
@@ -42,12 +42,12 @@
 				}
 				name := one.machine.settings.Holder
 				if lastActor != "" && lastActor != name {
-					assert.Assert(t, w.elapsed-lastAct >= testRest, "acts of %s and %s lie %s apart", lastActor, name, w.elapsed-lastAct)
+					assert.Assert(t, c.elapsed-lastAct >= testHandoverDelay, "actions of %s and %s are only %s apart", lastActor, name, c.elapsed-lastAct)
 				}
-				lastActor, lastAct = name, w.elapsed
+				lastActor, lastAct = name, c.elapsed
 				one.machine.RecordAction(now)
 			}
-			w.elapsed += testDuration / 25
+			c.elapsed += testDuration / 25
 		}
 		run := func(t *rapid.T, fates []fate, count int) {
 			for range count {
@@ -58,35 +58,35 @@
 			"run":   func(t *rapid.T) { run(t, make([]fate, holders), rapid.IntRange(1, 40).Draw(t, "count")) },
 			"fates": func(t *rapid.T) { run(t, drawFates(t), rapid.IntRange(1, 60).Draw(t, "count")) },
 			"isolate": func(t *rapid.T) {
-				run(t, w.isolateHolder(fate(rapid.IntRange(1, int(fateCount)-1).Draw(t, "fate"))), 60)
+				run(t, c.isolateHolder(fate(rapid.IntRange(1, int(fateCount)-1).Draw(t, "fate"))), 60)
 			},
 			"restart": func(t *rapid.T) {
-				one := w.participants[rapid.IntRange(0, holders-1).Draw(t, "participant")]
-				w.restart(one)
-				one.machine.settings.ActWindow, one.machine.settings.HandoverDelay = testActWithin, testRest
+				one := c.participants[rapid.IntRange(0, holders-1).Draw(t, "participant")]
+				c.restart(one)
+				one.machine.settings.ActWindow, one.machine.settings.HandoverDelay = testActWindow, testHandoverDelay
 			},
 			"want": func(t *rapid.T) {
-				one := w.participants[rapid.IntRange(0, holders-1).Draw(t, "participant")]
+				one := c.participants[rapid.IntRange(0, holders-1).Draw(t, "participant")]
 				one.machine.Want(rapid.IntRange(0, 2).Draw(t, "want") > 0)
 			},
 			"idle":   func(*rapid.T) { eager = !eager },
-			"outage": func(*rapid.T) { w.outage = !w.outage },
+			"outage": func(*rapid.T) { c.outage = !c.outage },
 			"":       func(*rapid.T) {},
 		})
 	})
 }
 
-// TestOwnLapseDoesNotStartTheWaitAnew lets a holder that waits because of the one before
-// it lose its grant to a slow table and take it back: what it has waited counts.
-func TestOwnLapseDoesNotStartTheWaitAnew(t *testing.T) {
+// TestOwnExpiryKeepsElapsedHandoverDelay has a holder that is still in its handover delay lose its
+// grant because the table is slow, and acquire it again. The delay must not start over.
+func TestOwnExpiryKeepsElapsedHandoverDelay(t *testing.T) {
 	settings := Settings{
 		Key: testKey, Holder: "two", Incarnation: 2, Duration: testDuration, SoleIncarnation: true,
-		ActWindow: testActWithin, HandoverDelay: testRest,
+		ActWindow: testActWindow, HandoverDelay: testHandoverDelay,
 	}
 	now := time.Unix(1_000_000, 0)
 	machine := New(settings)
 	machine.SetActing(true)
-	left := Record{Holder: "one", Incarnation: 1, Token: 5, Duration: testDuration, Acting: true, Released: true, HandoverDelayLeft: testRest}
+	left := Record{Holder: "one", Incarnation: 1, Token: 5, Duration: testDuration, Acting: true, Released: true, HandoverDelayLeft: testHandoverDelay}
 	assert.Assert(t, machine.Tick(now) != nil)
 	assert.NilError(t, machine.ReadDone(now, []port.Row{{Key: testKey, Value: left.encode(), Version: 7}}, nil))
 	take := func(version uint64) {
@@ -97,7 +97,7 @@
 	}
 	take(8)
 	first := machine.Grant()
-	assert.Equal(t, first.ActFrom, now.Add(settings.rest()))
+	assert.Equal(t, first.ActFrom, now.Add(settings.handoverDelay()))
 
 	now = now.Add(testDuration)
 	assert.Assert(t, !machine.Grant().ValidAt(now))
@@ -107,16 +107,16 @@
 	assert.Equal(t, again.ActFrom, first.ActFrom)
 }
 
-// TestTimeSinceTheReleaseCounts takes a released row, and one that lapsed, a while after they
-// were seen: the new holder waits for what is left of the rest only.
-func TestTimeSinceTheReleaseCounts(t *testing.T) {
+// TestTimeSinceReleaseCountsTowardsDelay acquires a released lease, and an expired one, some time
+// after the row was seen. The new holder must wait only for the rest of the handover delay.
+func TestTimeSinceReleaseCountsTowardsDelay(t *testing.T) {
 	settings := Settings{
-		Key: testKey, Holder: "two", Incarnation: 2, Duration: testDuration, ActWindow: testActWithin, HandoverDelay: testRest,
+		Key: testKey, Holder: "two", Incarnation: 2, Duration: testDuration, ActWindow: testActWindow, HandoverDelay: testHandoverDelay,
 	}
 	now := time.Unix(1_000_000, 0)
 	later := now.Add(3 * testDuration / 2)
 	for _, left := range []Record{
-		{Holder: "one", Token: 5, Duration: testDuration, Acting: true, Released: true, HandoverDelayLeft: testRest},
+		{Holder: "one", Token: 5, Duration: testDuration, Acting: true, Released: true, HandoverDelayLeft: testHandoverDelay},
 		{Holder: "one", Token: 5, Duration: testDuration, Acting: true},
 	} {
 		machine := New(settings)
@@ -127,9 +127,9 @@
 		assert.Assert(t, commits)
 		assert.NilError(t, machine.CommitDone(later, []port.Row{{Key: testKey, Version: 8}}, nil))
 		passed := later.Sub(now)
-		expected := settings.rest() - passed
+		expected := settings.handoverDelay() - passed
 		if !left.Released {
-			expected = settings.restAfterLapse() - (passed - testDuration)
+			expected = settings.delayAfterExpiry() - (passed - testDuration)
 		}
 		assert.Equal(t, machine.Grant().ActFrom.Sub(later), max(expected, 0))
 	}
--- a/internal/core/lease/fence.go
+++ b/internal/core/lease/fence.go
@@ -2,14 +2,14 @@
 
 import "github.com/lotusward/lotusward/internal/core/identity"
 
-// Fence is what a receiver of fenced effects keeps: the newest token it has
-// seen. The zero value admits every token.
+// Fence is the state kept by a receiver of fenced effects: the highest token it has seen. The zero
+// value admits every token.
 type Fence struct {
 	newest identity.FencingToken
 }
 
-// Admit takes an effect's token. It returns false for an effect of an earlier
-// grant than the newest seen, which must then be refused.
+// Admit checks an effect's token. It returns false if a newer grant's token was seen before; the
+// effect must then be rejected.
 func (f *Fence) Admit(token identity.FencingToken) bool {
 	if token < f.newest {
 		return false
@@ -18,5 +18,5 @@
 	return true
 }
 
-// Newest returns the newest token seen.
+// Newest returns the highest token seen.
 func (f *Fence) Newest() identity.FencingToken { return f.newest }
--- a/internal/core/lease/incarnation_test.go
+++ b/internal/core/lease/incarnation_test.go
@@ -10,7 +10,7 @@
 	"github.com/lotusward/lotusward/internal/port"
 )
 
-// rowOf is a row that an incarnation of the daemon "one" left behind.
+// rowOf returns the row that an incarnation of the daemon "one" wrote.
 func rowOf(incarnation identity.Incarnation, token identity.FencingToken) []port.Row {
 	record := Record{Holder: "one", Incarnation: incarnation, Token: token, Duration: testDuration}
 	return []port.Row{{Key: testKey, Value: record.encode(), Version: 7}}
@@ -26,9 +26,9 @@
 	return machine.Tick(now.Add(time.Millisecond))
 }
 
-// TestOnlyIncarnationTakesOverAtOnce takes what an earlier incarnation held without
-// waiting, under a newer token, only where that incarnation has surely ended, and
-// never what another daemon holds.
+// TestOnlyIncarnationTakesOverAtOnce checks that a daemon takes over the lease of its own earlier
+// incarnation without waiting, under a newer token, but only if that incarnation has certainly
+// ended, and never the lease of another daemon.
 func TestOnlyIncarnationTakesOverAtOnce(t *testing.T) {
 	settings := Settings{Key: testKey, Holder: "one", Incarnation: 2, Duration: testDuration, SoleIncarnation: true}
 	commit, commits := afterRead(t, settings, rowOf(1, 5)).(Commit)
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -23,71 +23,70 @@
 
 var errLost = errors.New("lost")
 
-// flight is a call between a holder and the table.
-type flight struct {
+// pending is a call from a holder to the table.
+type pending struct {
 	action Action
-	// applied is set once the table has answered; rows and err are the answer.
+	// applied is set once the table has executed the call; rows and err are the response.
 	applied bool
 	rows    []port.Row
 	err     error
 }
 
-// participant is one daemon with a clock of its own.
+// participant is one daemon with its own clock.
 type participant struct {
 	index       int
 	rate        float64
 	incarnation identity.Incarnation
 	machine     *Machine
-	flight      *flight
-	// paused is set since a round in which the participant did nothing, and stood is for how
-	// long its clock stood still meanwhile, if it does.
-	paused bool
-	stood  time.Duration
+	pending     *pending
+	// paused is set after a round in which the participant did nothing. clockStopped is the total time
+	// for which its clock stood still while it was paused, if clocks stop then.
+	paused       bool
+	clockStopped time.Duration
 }
 
-// world holds the true time, the table, the network and the oracle.
-type world struct {
+// cluster holds the true time, the table, the network and the test oracle.
+type cluster struct {
 	elapsed      time.Duration
 	table        *porttest.Table
 	outage       bool
 	participants []*participant
-	// strays are calls that nobody waits for and that may still reach the table.
-	strays []Action
-	// effects are the tokens of what holders have sent to the fenced receiver.
+	// orphanedCalls are calls that no participant waits for and that may still reach the table.
+	orphanedCalls []Action
+	// effects are the tokens that holders have sent to the fenced receiver.
 	effects []identity.FencingToken
-	// grantedTo is the oracle: who first believed to hold which token.
+	// grantedTo is the oracle's record of which participant was the first to hold a token.
 	grantedTo map[identity.FencingToken]string
 	fence     Fence
-	// garbled is set once another writer has overwritten the row.
-	garbled bool
-	// standsStill makes clocks stand still while their participants are paused, as Go's own
-	// does while the machine is suspended; roundAt is when the last round was.
-	standsStill bool
-	roundAt     time.Duration
+	// rowCorrupted is set once another writer has overwritten the row.
+	rowCorrupted bool
+	// clocksStopWhilePaused stops the clocks of paused participants, as Go's monotonic clock does
+	// while the machine is suspended. lastRoundAt is the time of the last round.
+	clocksStopWhilePaused bool
+	lastRoundAt           time.Duration
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{table: porttest.NewTable(), grantedTo: map[identity.FencingToken]string{}}
+func newCluster(t *rapid.T) *cluster {
+	c := &cluster{table: porttest.NewTable(), grantedTo: map[identity.FencingToken]string{}}
 	for index := range holders {
 		rate := 1 + testDrift*rapid.SampledFrom([]float64{-1, -0.5, 0, 1}).Draw(t, "drift")
 		one := &participant{index: index, rate: rate, incarnation: identity.Incarnation(index)}
-		w.participants = append(w.participants, one)
-		w.restart(one)
+		c.participants = append(c.participants, one)
+		c.restart(one)
 	}
-	return w
+	return c
 }
 
-// now is the participant's own clock.
-func (w *world) now(one *participant) time.Time {
+// now returns the participant's own clock.
+func (c *cluster) now(one *participant) time.Time {
 	base := time.Unix(int64(one.index)*1_000_000, 0)
-	return base.Add(time.Duration(float64(w.elapsed-one.stood) * one.rate))
+	return base.Add(time.Duration(float64(c.elapsed-one.clockStopped) * one.rate))
 }
 
-// restart begins a new life; what the old one had sent may still arrive. The
-// first two participants have the same name, as when a daemon is replaced while
-// the one before it still runs.
-func (w *world) restart(one *participant) {
-	w.abandon(one)
+// restart begins a new incarnation; calls of the old one may still arrive. The first two
+// participants have the same name, as when a daemon is replaced while its predecessor still runs.
+func (c *cluster) restart(one *participant) {
+	c.abandon(one)
 	one.incarnation += holders
 	one.machine = New(Settings{
 		Key: testKey, Holder: identity.DaemonID(fmt.Sprintf("daemon-%d", one.index/2)),
@@ -95,23 +94,23 @@
 	})
 }
 
-func (w *world) abandon(one *participant) {
-	if one.flight != nil && !one.flight.applied {
-		w.strays = append(w.strays, one.flight.action)
+func (c *cluster) abandon(one *participant) {
+	if one.pending != nil && !one.pending.applied {
+		c.orphanedCalls = append(c.orphanedCalls, one.pending.action)
 	}
-	one.flight = nil
+	one.pending = nil
 }
 
-// apply lets the table carry out a call.
-func (w *world) apply(action Action) ([]port.Row, error) {
-	if w.outage {
+// apply executes a call at the table.
+func (c *cluster) apply(action Action) ([]port.Row, error) {
+	if c.outage {
 		return nil, &port.UnavailableError{Service: "table"}
 	}
 	switch call := action.(type) {
 	case Read:
-		return w.table.Read([]string{call.Key}), nil
+		return c.table.Read([]string{call.Key}), nil
 	case Commit:
-		rows, committed := w.table.Commit(call.Transaction)
+		rows, committed := c.table.Commit(call.Transaction)
 		if !committed {
 			return nil, &port.ConflictError{Current: rows}
 		}
@@ -120,199 +119,200 @@
 	panic("unknown action")
 }
 
-// deliver gives a participant the result of its call.
-func (w *world) deliver(one *participant, rows []port.Row, err error) error {
-	action := one.flight.action
-	one.flight = nil
+// deliver passes the result of a call to its participant.
+func (c *cluster) deliver(one *participant, rows []port.Row, err error) error {
+	action := one.pending.action
+	one.pending = nil
 	var problem error
 	if _, reads := action.(Read); reads {
-		problem = one.machine.ReadDone(w.now(one), rows, err)
+		problem = one.machine.ReadDone(c.now(one), rows, err)
 	} else {
-		problem = one.machine.CommitDone(w.now(one), rows, err)
+		problem = one.machine.CommitDone(c.now(one), rows, err)
 	}
 	var malformed *MalformedError
-	if w.garbled && errors.As(problem, &malformed) {
+	if c.rowCorrupted && errors.As(problem, &malformed) {
 		return nil
 	}
 	return problem
 }
 
-// garble overwrites the row as another writer might.
-func (w *world) garble(value string) {
-	w.garbled = true
-	w.table.Commit(port.Transaction{Writes: []port.Write{{Key: testKey, Value: []byte(value)}}})
+// corruptRow overwrites the row as another writer might.
+func (c *cluster) corruptRow(value string) {
+	c.rowCorrupted = true
+	c.table.Commit(port.Transaction{Writes: []port.Write{{Key: testKey, Value: []byte(value)}}})
 }
 
-func (w *world) tick(one *participant) {
-	if action := one.machine.Tick(w.now(one)); action != nil {
-		one.flight = &flight{action: action}
+func (c *cluster) tick(one *participant) {
+	if action := one.machine.Tick(c.now(one)); action != nil {
+		one.pending = &pending{action: action}
 	}
 }
 
-// check is the oracle: at most one participant believes to hold the lease, and a
-// token belongs to one life of one daemon and grows from holder to holder.
-func (w *world) check(t *rapid.T) {
-	var believers []string
-	for _, one := range w.participants {
+// check verifies that at most one participant holds the lease, that each token belongs to one
+// incarnation of one daemon, and that tokens increase from holder to holder.
+func (c *cluster) check(t *rapid.T) {
+	var currentHolders []string
+	for _, one := range c.participants {
 		grant := one.machine.Grant()
-		if !grant.ValidAt(w.now(one)) {
+		if !grant.ValidAt(c.now(one)) {
 			continue
 		}
-		name := fmt.Sprintf("participant %d, life %d", one.index, one.incarnation)
-		believers = append(believers, name)
-		if owner, granted := w.grantedTo[grant.Token]; granted {
+		name := fmt.Sprintf("participant %d, incarnation %d", one.index, one.incarnation)
+		currentHolders = append(currentHolders, name)
+		if owner, granted := c.grantedTo[grant.Token]; granted {
 			assert.Equal(t, owner, name, "token %d", grant.Token)
 			continue
 		}
-		for earlier := range w.grantedTo {
+		for earlier := range c.grantedTo {
 			assert.Assert(t, grant.Token > earlier, "token %d after %d", grant.Token, earlier)
 		}
-		w.grantedTo[grant.Token] = name
+		c.grantedTo[grant.Token] = name
 	}
-	assert.Assert(t, len(believers) <= 1, "holders at one time: %v", believers)
+	assert.Assert(t, len(currentHolders) <= 1, "holders at one time: %v", currentHolders)
 }
 
-// fate is what happens to a participant's calls during some rounds.
+// fate is what happens to a participant's calls for some rounds.
 type fate int
 
 const (
 	answered fate = iota
-	// paused: the participant does nothing, and answers wait for it.
+	// paused: the participant does nothing, and responses wait for it.
 	paused
-	// cut: its calls are lost on their way to the table.
-	cut
-	// deaf: its calls take effect, but their answers are lost.
-	deaf
-	// slow: its calls take effect at once, and their answers wait.
-	slow
+	// requestLost: calls are lost before they reach the table.
+	requestLost
+	// responseLost: calls are executed, but their responses are lost.
+	responseLost
+	// responseDelayed: calls are executed at once, but their responses are delayed.
+	responseDelayed
 	fateCount
 )
 
-// round lets each participant make one call, each with its fate.
-func (w *world) round(t *rapid.T, fates []fate) {
-	passed := w.elapsed - w.roundAt
-	w.roundAt = w.elapsed
-	for index, one := range w.participants {
-		if one.paused && w.standsStill {
-			one.stood += passed
+// round lets each participant make one call, with the given fates.
+func (c *cluster) round(t *rapid.T, fates []fate) {
+	passed := c.elapsed - c.lastRoundAt
+	c.lastRoundAt = c.elapsed
+	for index, one := range c.participants {
+		if one.paused && c.clocksStopWhilePaused {
+			one.clockStopped += passed
 		}
 		one.paused = fates[index] == paused
 	}
-	for index, one := range w.participants {
+	for index, one := range c.participants {
 		if fates[index] == paused {
 			continue
 		}
-		if one.flight == nil {
-			w.tick(one)
+		if one.pending == nil {
+			c.tick(one)
 		}
-		if one.flight != nil {
-			w.carry(t, one, fates[index])
+		if one.pending != nil {
+			c.transmit(t, one, fates[index])
 		}
-		w.check(t)
+		c.check(t)
 	}
 }
 
-// carry brings a participant's call to its fate.
-func (w *world) carry(t *rapid.T, one *participant, fate fate) {
-	call := one.flight
-	if !call.applied && fate != cut {
-		call.rows, call.err = w.apply(call.action)
+// transmit applies a fate to a participant's call.
+func (c *cluster) transmit(t *rapid.T, one *participant, fate fate) {
+	call := one.pending
+	if !call.applied && fate != requestLost {
+		call.rows, call.err = c.apply(call.action)
 		call.applied = true
 	}
 	switch fate {
 	case answered:
-		assert.NilError(t, w.deliver(one, call.rows, call.err))
-	case cut, deaf:
+		assert.NilError(t, c.deliver(one, call.rows, call.err))
+	case requestLost, responseLost:
 		if !call.applied {
-			w.strays = append(w.strays, call.action)
+			c.orphanedCalls = append(c.orphanedCalls, call.action)
 		}
-		assert.NilError(t, w.deliver(one, nil, &port.OutcomeUnknownError{Cause: errLost}))
+		assert.NilError(t, c.deliver(one, nil, &port.OutcomeUnknownError{Cause: errLost}))
 	}
 }
 
-// TestAtMostOneHolder runs holders with clocks of different rates through pauses,
-// restarts, lost and late answers, repeated commits, table outages and a row that another writer overwrites.
+// TestAtMostOneHolder runs holders whose clocks have different rates through pauses, restarts,
+// lost and late responses, repeated commits, table outages and a row that another writer
+// overwrites.
 func TestAtMostOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		c := newCluster(t)
 		pick := func(t *rapid.T) *participant {
-			return w.participants[rapid.IntRange(0, holders-1).Draw(t, "participant")]
+			return c.participants[rapid.IntRange(0, holders-1).Draw(t, "participant")]
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"rounds": func(t *rapid.T) {
 				fates := drawFates(t)
 				pace := testDuration / time.Duration(rapid.SampledFrom([]int{3, 8, 20, 50}).Draw(t, "pace"))
 				for range rapid.IntRange(1, 25).Draw(t, "count") {
-					w.round(t, fates)
-					w.elapsed += pace
-					w.check(t)
+					c.round(t, fates)
+					c.elapsed += pace
+					c.check(t)
 				}
 			},
 			"isolate": func(t *rapid.T) {
-				fates := w.isolateHolder(fate(rapid.IntRange(1, int(fateCount)-1).Draw(t, "fate")))
+				fates := c.isolateHolder(fate(rapid.IntRange(1, int(fateCount)-1).Draw(t, "fate")))
 				for range 60 {
-					w.round(t, fates)
-					w.elapsed += testDuration / 50
-					w.check(t)
+					c.round(t, fates)
+					c.elapsed += testDuration / 50
+					c.check(t)
 				}
 			},
 			"advance": func(t *rapid.T) {
-				w.elapsed += time.Duration(rapid.Int64Range(0, int64(testDuration)*5/4).Draw(t, "by"))
+				c.elapsed += time.Duration(rapid.Int64Range(0, int64(testDuration)*5/4).Draw(t, "by"))
 			},
 			"repeat": func(t *rapid.T) {
 				one := pick(t)
-				if one.flight == nil {
+				if one.pending == nil {
 					t.Skip("no call")
 				}
-				w.strays = append(w.strays, one.flight.action)
+				c.orphanedCalls = append(c.orphanedCalls, one.pending.action)
 			},
 			"stray": func(t *rapid.T) {
-				if len(w.strays) == 0 {
-					t.Skip("no strays")
+				if len(c.orphanedCalls) == 0 {
+					t.Skip("no orphaned calls")
 				}
-				index := rapid.IntRange(0, len(w.strays)-1).Draw(t, "stray")
-				_, _ = w.apply(w.strays[index]) // nobody waits for the answer
+				index := rapid.IntRange(0, len(c.orphanedCalls)-1).Draw(t, "stray")
+				_, _ = c.apply(c.orphanedCalls[index]) // nobody waits for the answer
 			},
 			"work": func(t *rapid.T) {
 				one := pick(t)
-				if grant := one.machine.Grant(); grant.ValidAt(w.now(one)) {
-					w.effects = append(w.effects, grant.Token)
+				if grant := one.machine.Grant(); grant.ValidAt(c.now(one)) {
+					c.effects = append(c.effects, grant.Token)
 				}
 			},
 			"receive": func(t *rapid.T) {
-				if len(w.effects) == 0 {
+				if len(c.effects) == 0 {
 					t.Skip("no effects")
 				}
-				index := rapid.IntRange(0, len(w.effects)-1).Draw(t, "effect")
-				token, newest := w.effects[index], w.fence.Newest()
-				assert.Equal(t, w.fence.Admit(token), token >= newest)
+				index := rapid.IntRange(0, len(c.effects)-1).Draw(t, "effect")
+				token, newest := c.effects[index], c.fence.Newest()
+				assert.Equal(t, c.fence.Admit(token), token >= newest)
 			},
-			"restart": func(t *rapid.T) { w.restart(pick(t)) },
+			"restart": func(t *rapid.T) { c.restart(pick(t)) },
 			"want":    func(t *rapid.T) { pick(t).machine.Want(rapid.IntRange(0, 4).Draw(t, "want") > 0) },
-			"outage":  func(t *rapid.T) { w.outage = !w.outage },
+			"outage":  func(t *rapid.T) { c.outage = !c.outage },
 			"garble": func(t *rapid.T) {
 				if rapid.IntRange(0, 3).Draw(t, "rare") == 0 {
-					w.garble(rapid.SampledFrom([]string{"", "{", "null and void", `{"holder":7}`, `[1]`, "null", "{}", `{"holder":"daemon-0","token":1}`, "\xff"}).Draw(t, "value"))
+					c.corruptRow(rapid.SampledFrom([]string{"", "{", "null and void", `{"holder":7}`, `[1]`, "null", "{}", `{"holder":"daemon-0","token":1}`, "\xff"}).Draw(t, "value"))
 				}
 			},
-			"": w.check,
+			"": c.check,
 		})
-		w.settle(t)
+		c.settle(t)
 	})
 }
 
-// isolateHolder gives the present holder a fate, and lets all others work.
-func (w *world) isolateHolder(chosen fate) []fate {
+// isolateHolder applies a fate to the current holder; all others work.
+func (c *cluster) isolateHolder(chosen fate) []fate {
 	fates := make([]fate, holders)
-	for index, one := range w.participants {
-		if one.machine.Grant().ValidAt(w.now(one)) {
+	for index, one := range c.participants {
+		if one.machine.Grant().ValidAt(c.now(one)) {
 			fates[index] = chosen
 		}
 	}
 	return fates
 }
 
-// drawFates draws a fate for each participant; half of them are answered.
+// drawFates draws a fate for each participant; half of them work normally.
 func drawFates(t *rapid.T) []fate {
 	fates := make([]fate, holders)
 	for index := range fates {
@@ -323,32 +323,33 @@
 	return fates
 }
 
-// settle ends all faults and checks that the lease finds exactly one holder.
-func (w *world) settle(t *rapid.T) {
-	w.outage = false
-	for _, one := range w.participants {
+// settle ends all faults and checks that exactly one participant acquires the lease.
+func (c *cluster) settle(t *rapid.T) {
+	c.outage = false
+	for _, one := range c.participants {
 		one.machine.Want(true)
-		if one.flight != nil {
-			w.strays = append(w.strays, one.flight.action)
-			assert.NilError(t, w.deliver(one, nil, &port.OutcomeUnknownError{Cause: errLost}))
+		if one.pending != nil {
+			c.orphanedCalls = append(c.orphanedCalls, one.pending.action)
+			assert.NilError(t, c.deliver(one, nil, &port.OutcomeUnknownError{Cause: errLost}))
 		}
 	}
 	for range 3 * retryFraction {
-		w.round(t, make([]fate, holders))
-		w.elapsed += testDuration / retryFraction
+		c.round(t, make([]fate, holders))
+		c.elapsed += testDuration / retryFraction
 	}
 	held := 0
-	for _, one := range w.participants {
-		if one.machine.Grant().ValidAt(w.now(one)) {
+	for _, one := range c.participants {
+		if one.machine.Grant().ValidAt(c.now(one)) {
 			held++
 		}
 	}
 	assert.Equal(t, held, 1, "holders after the faults ended")
 }
 
-// TestTokensRiseWhereTheTableComesBackOlder lets a holder's row be lost with the table's return: the next holder's token is
-// greater all the same, and it acts only once the lost one can't any more and the rest is over.
-func TestTokensRiseWhereTheTableComesBackOlder(t *testing.T) {
+// TestTokensIncreaseAfterTableRestore loses a holder's row because the table is restored from an
+// older copy. The next holder must still get a higher token, and must not act until the lost
+// holder can no longer act and the handover delay has passed.
+func TestTokensIncreaseAfterTableRestore(t *testing.T) {
 	era := uint64(0)
 	settings := Settings{Key: testKey, Holder: "next", Duration: testDuration, MaximumDrift: testDrift, HandoverDelay: 3 * time.Second, Era: func() uint64 { return era }}
 	next := New(settings)
@@ -363,5 +364,5 @@
 	assert.NilError(t, next.CommitDone(now, []port.Row{{Key: testKey, Value: took.Transaction.Writes[0].Value, Version: port.PositionOf(1, 5)}}, nil))
 	grant := next.Grant()
 	assert.Assert(t, uint64(grant.Token) > 1<<32, "%d", grant.Token)
-	assert.Assert(t, !grant.ActFrom.Before(now.Add(settings.actWithin()+settings.rest())), "%s", grant.ActFrom.Sub(now))
+	assert.Assert(t, !grant.ActFrom.Before(now.Add(settings.actWindow()+settings.handoverDelay())), "%s", grant.ActFrom.Sub(now))
 }
--- a/internal/core/lease/machine.go
+++ b/internal/core/lease/machine.go
@@ -1,16 +1,16 @@
-// Package lease decides when a daemon may act as the single holder of a duty. It
-// is pure: it does no I/O and reads no clock. The lease is one row of the
-// platform's table, and only conditional commits change it.
+// Package lease decides when a daemon may act as the single holder of a role. It performs no I/O
+// and reads no clock. The lease is one row of the platform's table, and only conditional commits
+// change it.
 //
-// No two clocks are ever compared. A holder counts from when it sent the commit
-// that was confirmed, and stops before the lease's duration is over. Any other
-// daemon counts the whole duration from when it first saw the row's present
-// version, which is after the holder's commit took effect and so after it was
-// sent. The holder's margin covers clocks that run at different rates.
+// Clocks of different daemons are never compared. A holder counts from when it sent the commit
+// that was confirmed, and stops before the lease's duration is over. Any other daemon counts the
+// whole duration from when it first saw the row's current version, which is after the holder's
+// commit took effect and so after it was sent. The holder's safety margin covers clocks that run
+// at different rates.
 //
-// A holder that was paused may still send effects after its lease lapsed. Each
-// effect therefore carries the grant's fencing token, and receivers refuse
-// tokens older than the newest they have seen (type Fence).
+// A holder that was paused may still send effects after its lease expired. Each effect therefore
+// carries the grant's fencing token, and receivers reject tokens older than the newest they have
+// seen (type Fence).
 package lease
 
 import (
@@ -22,8 +22,8 @@
 	"github.com/lotusward/lotusward/internal/port"
 )
 
-// Machine is one daemon's state for one lease. All times are of the daemon's own
-// monotonic clock.
+// Machine is one daemon's state machine for one lease. All times are by the daemon's own monotonic
+// clock.
 type Machine struct {
 	settings Settings
 	// wanted is false while the daemon doesn't want the lease.
@@ -31,51 +31,50 @@
 	// acting is set while the holder wants to act, and actedAt is when it last did.
 	acting  bool
 	actedAt time.Time
-	// actFrom is when a new holder may act for the first time, and inherits is set when
-	// one before it may have acted lately.
-	actFrom  time.Time
-	inherits bool
-	grant    Grant
-	// renewAt is when the grant is to be renewed.
+	// actFrom is when a new holder may first act. predecessorActed is set if the previous holder may
+	// have acted recently.
+	actFrom          time.Time
+	predecessorActed bool
+	grant            Grant
+	// renewAt is when the grant is due for renewal.
 	renewAt time.Time
 
-	// seen is set once the row has been read. Then version and record are the
-	// newest known of it, and seenAt is when that version was first seen.
+	// seen is set once the row has been read. version and record are its newest known state, and
+	// seenAt is when that version was first seen.
 	seen    bool
 	version uint64
 	record  Record
 	seenAt  time.Time
-	// highestToken is the newest token ever seen in the row.
+	// highestToken is the highest token ever seen in the row.
 	highestToken identity.FencingToken
-	// era is the table's newest known one, and returnedAt when it last rose; zero is never.
+	// era is the table's newest known era, and restoredAt is when it last increased; zero is never.
 	era        uint64
-	returnedAt time.Time
-	// stale is set when the row has to be read before the next commit.
+	restoredAt time.Time
+	// stale is set if the row has to be read before the next commit.
 	stale bool
 
-	// involved is set once this machine has tried to write the row.
-	involved bool
-	// calling is set while a call is under way.
-	calling bool
-	// proposed and sentAt are of the commit under way.
+	// hasTriedWrite is set once this machine has tried to write the row.
+	hasTriedWrite bool
+	callInFlight  bool
+	// proposed and sentAt describe the commit in flight.
 	proposed Record
 	sentAt   time.Time
-	// pollAt is when the row is read again while another daemon holds the lease.
+	// pollAt is when to read the row again while another daemon holds the lease.
 	pollAt time.Time
 	// notBefore is the earliest time of the next call.
 	notBefore time.Time
 }
 
-// New makes a machine that wants the lease.
+// New returns a machine that wants the lease.
 func New(settings Settings) *Machine {
 	return &Machine{settings: settings, wanted: true, stale: true}
 }
 
-// Grant returns the newest grant, which may have lapsed.
+// Grant returns the newest grant, which may have expired.
 func (m *Machine) Grant() Grant { return m.grant }
 
-// Want says whether the daemon wants the lease. A holder that no longer wants it
-// stops at once and then releases the row.
+// Want sets whether the daemon wants the lease. A holder that no longer wants it stops at once and
+// then releases the row.
 func (m *Machine) Want(wanted bool) {
 	if m.wanted && !wanted {
 		m.grant = Grant{}
@@ -83,8 +82,8 @@
 	m.wanted = wanted
 }
 
-// SetActing says whether the holder wants to act. It may from the next commit on, and
-// no longer once it doesn't want to.
+// SetActing sets whether the holder wants to act. It may do so from its next commit on, and must
+// stop as soon as it is unset.
 func (m *Machine) SetActing(acting bool) {
 	m.acting = acting
 	if !acting {
@@ -92,30 +91,29 @@
 	}
 }
 
-// RecordAction notes when the holder last acted. It must be told before the row is released.
+// RecordAction records when the holder last acted. It must be called before the row is released.
 func (m *Machine) RecordAction(at time.Time) {
 	if at.After(m.actedAt) {
 		m.actedAt = at
 	}
 }
 
-// FullyReleased tells whether a daemon that doesn't want the lease has nothing left to
-// release.
+// FullyReleased reports whether a daemon that doesn't want the lease has nothing left to release.
 func (m *Machine) FullyReleased() bool {
-	if m.wanted || m.calling {
+	if m.wanted || m.callInFlight {
 		return false
 	}
-	return !m.involved || (!m.stale && !m.heldByUs())
+	return !m.hasTriedWrite || (!m.stale && !m.heldByUs())
 }
 
-// Tick returns the next call to make, or nil. It is called every RetryInterval.
+// Tick returns the next call to make, or nil. It must be called every RetryInterval.
 func (m *Machine) Tick(now time.Time) Action {
-	m.noteEra(now)
-	if m.calling || now.Before(m.notBefore) {
+	m.observeEra(now)
+	if m.callInFlight || now.Before(m.notBefore) {
 		return nil
 	}
-	if !m.wanted && !m.involved {
-		return nil // daemons that never tried leave the table alone
+	if !m.wanted && !m.hasTriedWrite {
+		return nil // daemons that never tried to write don't load the table
 	}
 	if m.stale {
 		return m.read(now)
@@ -126,7 +124,7 @@
 	if m.grant.ValidAt(now) {
 		return m.renew(now)
 	}
-	if m.free(now) {
+	if m.isFree(now) {
 		return m.takeOver(now)
 	}
 	if !now.Before(m.pollAt) {
@@ -135,74 +133,76 @@
 	return nil
 }
 
-// free tells whether nobody else can believe to hold the lease.
-func (m *Machine) free(now time.Time) bool {
+// isFree reports whether no other daemon can consider itself the holder.
+func (m *Machine) isFree(now time.Time) bool {
 	if m.version == 0 || m.record.Released {
 		return true
 	}
 	if m.settings.SoleIncarnation && m.record.Holder == m.settings.Holder {
 		return true
 	}
-	// Only this machine acts on its own record, and it holds no valid grant.
+	// Only this machine acts on its own record, and it has no valid grant.
 	return m.heldByUs() || now.Sub(m.seenAt) >= m.record.Duration
 }
 
-// heldByUs tells whether the row names this life of this daemon.
+// heldByUs reports whether the row names this incarnation of this daemon.
 func (m *Machine) heldByUs() bool {
 	return m.version > 0 && !m.record.Released &&
 		m.record.Holder == m.settings.Holder && m.record.Incarnation == m.settings.Incarnation
 }
 
-// takeOver starts a commit that makes this daemon the holder. Whoever takes back what it
-// held itself goes on waiting where it was: nobody else has acted since.
+// takeOver starts a commit that makes this daemon the holder. A daemon that reacquires its own
+// lease keeps its handover wait, since nobody else has acted in between.
 func (m *Machine) takeOver(now time.Time) Action {
 	if !m.heldByUs() {
-		m.actFrom = now.Add(max(m.wait(now), m.lostHolder(now)))
-		m.inherits = m.record.Acting
+		m.actFrom = now.Add(max(m.handoverWait(now), m.lostHolderDelay(now)))
+		m.predecessorActed = m.record.Acting
 	}
 	return m.commit(now, m.newRecord(now, m.nextToken()))
 }
 
-// tokensEach is how many tokens an era has.
-const tokensEach = 1 << 32
+// tokensPerEra is the number of fencing tokens reserved for each era.
+const tokensPerEra = 1 << 32
 
-// nextToken is greater than any token before. Those of the row may be of a copy of before the last ones.
+// nextToken returns a token higher than all earlier ones. After a restore the row may lack the
+// newest of them, so each era starts a new range.
 func (m *Machine) nextToken() identity.FencingToken {
-	return max(m.highestToken, identity.FencingToken(m.era*tokensEach)) + 1
+	return max(m.highestToken, identity.FencingToken(m.era*tokensPerEra)) + 1
 }
 
-// noteEra notes when the table came back from a copy. Another daemon may hold the lease and the row say nothing of it.
-func (m *Machine) noteEra(now time.Time) {
+// observeEra notes when the table was restored from a copy. Another daemon may then hold the lease
+// without the row showing it.
+func (m *Machine) observeEra(now time.Time) {
 	if era := m.settings.Era.Era(); era > m.era {
-		m.era, m.returnedAt = era, now
+		m.era, m.restoredAt = era, now
 	}
 }
 
-// lostHolder is how long a holder may still act, and the rest after it, of which the row says nothing since the table came
-// back from a copy.
-func (m *Machine) lostHolder(now time.Time) time.Duration {
-	if m.returnedAt.IsZero() {
+// lostHolderDelay is the time for which a holder whose row was lost in a restore may still act,
+// plus the handover delay.
+func (m *Machine) lostHolderDelay(now time.Time) time.Duration {
+	if m.restoredAt.IsZero() {
 		return 0
 	}
-	return max(m.settings.actWithin()+m.settings.rest()-now.Sub(m.returnedAt), 0)
+	return max(m.settings.actWindow()+m.settings.handoverDelay()-now.Sub(m.restoredAt), 0)
 }
 
-// wait is how long a new holder must not act because of the one before it. An earlier
-// life of this daemon acted as this daemon, but may have been waiting itself. What has
-// passed since the row was seen counts: the one before it acted earlier.
-func (m *Machine) wait(now time.Time) time.Duration {
+// handoverWait is how long a new holder must not act because of its predecessor. An earlier
+// incarnation of this daemon counts as this daemon, but may itself have been waiting. The time
+// since the row was first seen is deducted, because the predecessor acted before that.
+func (m *Machine) handoverWait(now time.Time) time.Duration {
 	own := m.record.Holder == m.settings.Holder
 	switch {
 	case m.version == 0, !m.record.Acting, own && !m.record.Waiting:
 		return 0
 	case m.record.Released:
-		left := min(m.record.HandoverDelayLeft+m.settings.margin(), m.settings.rest())
+		left := min(m.record.HandoverDelayLeft+m.settings.driftMargin(), m.settings.handoverDelay())
 		return max(left-now.Sub(m.seenAt), 0)
 	case own:
-		return m.settings.rest()
+		return m.settings.handoverDelay()
 	default:
-		lapsedFor := max(now.Sub(m.seenAt)-m.record.Duration, 0)
-		return max(m.settings.restAfterLapse()-lapsedFor, 0)
+		expiredFor := max(now.Sub(m.seenAt)-m.record.Duration, 0)
+		return max(m.settings.delayAfterExpiry()-expiredFor, 0)
 	}
 }
 
@@ -213,32 +213,32 @@
 		Incarnation: m.settings.Incarnation,
 		Token:       token,
 		Duration:    m.settings.Duration,
-		Acting:      m.acting || m.restLeft(now) > 0,
+		Acting:      m.acting || m.delayLeft(now) > 0,
 		Waiting:     now.Before(m.actFrom),
 	}
 }
 
-// restLeft is how long a new holder would have to wait after the last act, of this one
-// or of one before it.
-func (m *Machine) restLeft(now time.Time) time.Duration {
+// delayLeft is how long a new holder would have to wait after the last action of this holder or
+// its predecessor.
+func (m *Machine) delayLeft(now time.Time) time.Duration {
 	left := time.Duration(0)
 	if !m.actedAt.IsZero() {
-		left = m.settings.rest() - now.Sub(m.actedAt)
+		left = m.settings.handoverDelay() - now.Sub(m.actedAt)
 	}
-	if m.inherits {
-		left = max(left, m.settings.rest()-now.Sub(m.actFrom))
+	if m.predecessorActed {
+		left = max(left, m.settings.handoverDelay()-now.Sub(m.actFrom))
 	}
 	return max(left, 0)
 }
 
 // read starts a read of the row.
 func (m *Machine) read(now time.Time) Action {
-	m.calling = true
+	m.callInFlight = true
 	m.pollAt = now.Add(m.settings.Duration / pollFraction)
 	return Read{Key: m.settings.Key}
 }
 
-// renew starts a renewal when it is due.
+// renew starts a renewal if it is due.
 func (m *Machine) renew(now time.Time) Action {
 	if now.Before(m.renewAt) && (m.record.Acting || !m.acting) {
 		return nil
@@ -246,22 +246,22 @@
 	return m.commit(now, m.newRecord(now, m.grant.Token))
 }
 
-// release starts a release when the row names this daemon.
+// release starts a release if the row names this daemon.
 func (m *Machine) release(now time.Time) Action {
 	if !m.heldByUs() {
 		return nil
 	}
 	released := m.newRecord(now, m.record.Token)
 	released.Released = true
-	released.HandoverDelayLeft = m.restLeft(now)
+	released.HandoverDelayLeft = m.delayLeft(now)
 	released.Acting = released.HandoverDelayLeft > 0
 	return m.commit(now, released)
 }
 
-// commit starts a write of the row on condition that it is as last seen.
+// commit starts a write of the row, conditional on its last seen version.
 func (m *Machine) commit(now time.Time, record Record) Action {
-	m.calling = true
-	m.involved = true
+	m.callInFlight = true
+	m.hasTriedWrite = true
 	m.proposed = record
 	m.sentAt = now
 	return Commit{Transaction: port.Transaction{
@@ -270,10 +270,9 @@
 	}}
 }
 
-// ReadDone takes the result of a read. It returns a *MalformedError when the row
-// cannot be understood.
+// ReadDone handles the result of a read. It returns a *MalformedError if the row cannot be parsed.
 func (m *Machine) ReadDone(now time.Time, rows []port.Row, err error) error {
-	m.calling = false
+	m.callInFlight = false
 	if err != nil {
 		m.retryLater(now, err)
 		return nil
@@ -284,12 +283,11 @@
 	return m.observe(now, rows[0])
 }
 
-// ObserveRow takes in the row as its holder has told it. That is as good as having read it at
-// this moment: the holder counts from before. Nothing is taken in during a call, and
-// nothing older than what is known. It returns a *MalformedError when the row cannot be
-// understood.
+// ObserveRow handles the row as received from its holder. This is equivalent to a read at this
+// moment, because the holder counts from an earlier time. It is ignored while a call is in flight,
+// or if a newer version is known. It returns a *MalformedError if the row cannot be parsed.
 func (m *Machine) ObserveRow(now time.Time, row port.Row) error {
-	if m.calling || row.Version < m.version {
+	if m.callInFlight || row.Version < m.version {
 		return nil
 	}
 	if row.Version > m.version {
@@ -301,15 +299,15 @@
 	return nil
 }
 
-// Row is the newest known row; its version is zero without any.
+// Row returns the newest known row; its version is zero if there is none.
 func (m *Machine) Row() port.Row {
 	return port.Row{Key: m.settings.Key, Value: m.record.encode(), Version: m.version}
 }
 
-// CommitDone takes the result of a commit. It returns a *MalformedError when the
-// row that caused a conflict cannot be understood.
+// CommitDone handles the result of a commit. It returns a *MalformedError if the row that caused a
+// conflict cannot be parsed.
 func (m *Machine) CommitDone(now time.Time, rows []port.Row, err error) error {
-	m.calling = false
+	m.callInFlight = false
 	if err == nil && len(rows) == 1 {
 		m.confirm(now, rows[0].Version)
 		return nil
@@ -318,23 +316,23 @@
 	if errors.As(err, &conflict) && len(conflict.Current) == 1 {
 		return m.observe(now, conflict.Current[0])
 	}
-	if !withoutEffect(err) {
+	if !hadNoEffect(err) {
 		m.stale = true
 	}
 	m.retryLater(now, err)
 	return nil
 }
 
-// withoutEffect tells whether a failed commit certainly wrote nothing and left
-// what is known of the row as it was.
-func withoutEffect(err error) bool {
+// hadNoEffect reports whether a failed commit certainly wrote nothing, so that the known state of
+// the row is still valid.
+func hadNoEffect(err error) bool {
 	var unavailable *port.UnavailableError
 	var limited *port.RateLimitedError
 	return errors.As(err, &unavailable) || errors.As(err, &limited)
 }
 
-// confirm takes over the record of a commit that is known to have taken effect.
-// Nothing else ever makes or extends a grant.
+// confirm adopts the record of a commit that is known to have taken effect. Nothing else creates
+// or extends a grant.
 func (m *Machine) confirm(now time.Time, version uint64) {
 	m.seen = true
 	m.version = version
@@ -344,15 +342,15 @@
 	if m.record.Released || !m.wanted {
 		return
 	}
-	// The time of sending counts: others may have seen the row any time since.
-	m.grant = Grant{Token: m.record.Token, Until: m.sentAt.Add(m.settings.usable()), ActFrom: m.actFrom}
+	// The grant counts from the time of sending, since others may have seen the row at any time since.
+	m.grant = Grant{Token: m.record.Token, Until: m.sentAt.Add(m.settings.validity()), ActFrom: m.actFrom}
 	if m.record.Acting && m.acting {
-		m.grant.ActUntil = m.sentAt.Add(m.settings.actWithin())
+		m.grant.ActUntil = m.sentAt.Add(m.settings.actWindow())
 	}
 	m.renewAt = m.sentAt.Add(m.settings.Duration / renewFraction)
 }
 
-// observe takes over the row as the table gave it.
+// observe adopts the row as read from the table.
 func (m *Machine) observe(now time.Time, row port.Row) error {
 	m.stale = false
 	var err error
@@ -369,17 +367,18 @@
 	return err
 }
 
-// recordOf reads a row. One that can't be understood, as another writer may leave it, counts as held by nobody known
-// who has just acted: whoever wants the lease waits as long as for any holder, and then takes over and so repairs the
-// row. Otherwise nobody would ever hold it again. Its token is the row's version: the table counts its transactions,
-// and each new token took one, so that no token before was greater.
+// recordOf parses a row. A malformed row, as another writer may leave it, counts as held by an
+// unknown holder that has just acted: a daemon that wants the lease waits as long as for any
+// holder, then takes over and thereby repairs the row. Otherwise nobody could ever hold the lease
+// again. The row's version serves as its token: the table counts its transactions, and each new
+// token took one, so no earlier token is higher.
 func (m *Machine) recordOf(row port.Row) (Record, error) {
 	var record Record
 	if row.Version == 0 {
 		return record, nil
 	}
 	err := json.Unmarshal(row.Value, &record)
-	if err == nil && !record.isWhole() {
+	if err == nil && !record.isComplete() {
 		err = errPartialRecord
 	}
 	if err != nil {
@@ -389,14 +388,14 @@
 	return record, nil
 }
 
-// retryLater sets the time of the next call after a failure.
+// retryLater schedules the next call after a failure.
 func (m *Machine) retryLater(now time.Time, err error) {
 	pause := m.settings.RetryInterval()
 	var limited *port.RateLimitedError
 	if errors.As(err, &limited) {
 		pause = max(pause, min(limited.RetryAfter, m.settings.Duration/renewFraction))
 		if !m.grant.ValidAt(now) {
-			pause = max(pause, m.settings.Duration/pollFraction) // many may be asking
+			pause = max(pause, m.settings.Duration/pollFraction) // many daemons may be polling
 		}
 	}
 	m.notBefore = now.Add(pause)
--- a/internal/core/lease/settings.go
+++ b/internal/core/lease/settings.go
@@ -9,79 +9,80 @@
 
 // Fractions of the lease's duration.
 const (
-	// renewFraction is the age at which a holder renews its grant.
+	// renewFraction sets the age at which a holder renews its grant.
 	renewFraction = 3
-	// pollFraction is how often a daemon that waits reads the row.
+	// pollFraction sets the interval at which a waiting daemon reads the row.
 	pollFraction = 4
-	// retryFraction is the pause after a failed call.
+	// retryFraction sets the pause after a failed call.
 	retryFraction = 20
 )
 
-// Settings of one daemon for one lease.
+// Settings configures one daemon for one lease.
 type Settings struct {
-	// Key is the lease's row. The row must never be deleted, since its fencing
-	// token would start again.
+	// Key identifies the lease's row. The row must never be deleted, since its fencing tokens would
+	// start over.
 	Key         string
 	Holder      identity.DaemonID
 	Incarnation identity.Incarnation
-	// SoleIncarnation says that an earlier incarnation of this daemon has surely ended,
-	// so that what it held is free at once.
+	// SoleIncarnation says that earlier incarnations of this daemon have certainly ended, so that
+	// leases they held are free at once.
 	SoleIncarnation bool
 	// Duration is how long a grant lasts unless it is renewed.
 	Duration time.Duration
-	// MaximumDrift bounds by how much any daemon's clock runs too fast or too
-	// slow, as a fraction. A holder gives up twice that fraction of the duration.
+	// MaximumDrift bounds the rate error of any daemon's clock, as a fraction. A holder gives up twice
+	// that fraction of the duration.
 	MaximumDrift float64
-	// ActWindow is how long after a confirmed commit was sent the holder may act. Others
-	// wait for the whole duration before they take over, so that the shorter this is,
-	// the longer ago the last act was then. Zero is as long as the grant lasts.
+	// ActWindow is how long after sending a confirmed commit the holder may act. Others wait for the
+	// whole duration before they take over, so a shorter window leaves more time between the last
+	// action and a takeover. Zero means for as long as the grant lasts.
 	ActWindow time.Duration
-	// Era counts how often the table has come back from a copy of before: what was committed since is gone then. Tokens of
-	// a later era are greater than all before. Nil is none.
+	// Era counts how often the table was restored from an older copy, which loses the commits since.
+	// Tokens of a later era are higher than all earlier ones. Nil is an era of zero.
 	Era port.EraSource
-	// HandoverDelay must lie between acts of different holders. Zero asks for no such time.
+	// HandoverDelay is the minimum time between actions of different holders. Zero requires none.
 	HandoverDelay time.Duration
 }
 
-// RetryInterval is the pause after a failed call, and how often Tick is due.
+// RetryInterval is the pause after a failed call, and the interval at which to call Tick.
 func (s Settings) RetryInterval() time.Duration { return s.Duration / retryFraction }
 
-// actWithin is how long after a commit was sent the holder may act.
-func (s Settings) actWithin() time.Duration {
+// actWindow is how long after sending a commit the holder may act.
+func (s Settings) actWindow() time.Duration {
 	if s.ActWindow == 0 {
-		return s.usable()
+		return s.validity()
 	}
-	return min(s.ActWindow, s.usable())
+	return min(s.ActWindow, s.validity())
 }
 
-// rest is Rest by a clock that may run too fast, while the other one's runs too slow.
-func (s Settings) rest() time.Duration { return s.HandoverDelay + s.margin() }
+// handoverDelay is HandoverDelay as measured by a clock that may run too fast while the other
+// daemon's runs too slow.
+func (s Settings) handoverDelay() time.Duration { return s.HandoverDelay + s.driftMargin() }
 
-// margin covers clocks of different rates over the rest.
-func (s Settings) margin() time.Duration {
+// driftMargin covers clocks of different rates over the handover delay.
+func (s Settings) driftMargin() time.Duration {
 	return time.Duration(2 * s.MaximumDrift * float64(s.HandoverDelay))
 }
 
-// restAfterLapse is what is left of the rest when a lease has just lapsed. Others count
-// the whole duration, but the holder acted in ActWithin of it at the most.
-func (s Settings) restAfterLapse() time.Duration {
-	passed := s.usable() - s.actWithin()
-	return max(s.rest()-passed, 0)
+// delayAfterExpiry is the remaining handover delay when a lease has just expired. Others wait for
+// the whole duration, but the holder acted only within ActWindow of it.
+func (s Settings) delayAfterExpiry() time.Duration {
+	passed := s.validity() - s.actWindow()
+	return max(s.handoverDelay()-passed, 0)
 }
 
-// usable is how long a holder relies on a confirmed commit.
-func (s Settings) usable() time.Duration {
+// validity is how long a holder relies on a confirmed commit.
+func (s Settings) validity() time.Duration {
 	return s.Duration - time.Duration(2*s.MaximumDrift*float64(s.Duration))
 }
 
-// Action is a call of the table that the machine asks for. Its result goes back
-// through ReadDone or CommitDone before Tick gives the next action.
+// Action is a table call requested by the machine. Its result must be passed to ReadDone or
+// CommitDone before Tick returns the next action.
 type Action interface{ isAction() }
 
-// Read asks for the row with a key.
+// Read requests a read of the row with a key.
 type Read struct{ Key string }
 
-// Commit asks for a conditional write of the row.
+// Commit requests a conditional write of the row.
 type Commit struct{ Transaction port.Transaction }
 
 func (Read) isAction()   {}
@@ -90,17 +91,16 @@
 // Grant is the right to act as the holder.
 type Grant struct {
 	Token identity.FencingToken
-	// Until is when the grant lapses, by the holder's own monotonic clock. The
-	// zero time is no grant.
+	// Until is when the grant expires, by the holder's own monotonic clock. The zero time is no grant.
 	Until time.Time
-	// ActFrom and ActUntil bound when the holder may act. The row says that it may.
+	// ActFrom and ActUntil bound the time in which the holder may act.
 	ActFrom, ActUntil time.Time
 }
 
-// MayActAt tells whether the holder may act.
+// MayActAt reports whether the holder may act.
 func (g Grant) MayActAt(now time.Time) bool {
 	return g.ValidAt(now) && !now.Before(g.ActFrom) && now.Before(g.ActUntil)
 }
 
-// ValidAt tells whether the grant still holds.
+// ValidAt reports whether the grant is still valid.
 func (g Grant) ValidAt(now time.Time) bool { return now.Before(g.Until) }
--- a/internal/core/lease/suspension_test.go
+++ b/internal/core/lease/suspension_test.go
@@ -11,7 +11,7 @@
 	"github.com/lotusward/lotusward/internal/port/porttest"
 )
 
-// settle lets a machine make its calls until it has no more to make for now.
+// settle executes a machine's calls until it has none left for now.
 func settle(t *testing.T, table *porttest.Table, machine *Machine, now time.Time) {
 	t.Helper()
 	for action := machine.Tick(now); action != nil; action = machine.Tick(now) {
@@ -30,7 +30,7 @@
 }
 
 // TestSuspendedHolderDoesNotAct suspends the machine of a holder until another daemon holds the
-// lease and acts. By a clock that stands still meanwhile both would act.
+// lease and acts. With a clock that stops during suspension both would act.
 func TestSuspendedHolderDoesNotAct(t *testing.T) {
 	table := porttest.NewTable()
 	settings := Settings{Key: testKey, Duration: testDuration, MaximumDrift: testDrift}
@@ -51,7 +51,7 @@
 		other.Pass(testDuration / 20)
 	}
 	assert.Assert(t, second.Grant().MayActAt(other.Now()))
-	assert.Assert(t, first.Grant().MayActAt(suspended.Steady()), "the clock that stands still shows the fault")
+	assert.Assert(t, first.Grant().MayActAt(suspended.Steady()), "a clock that stops during suspension must show the fault")
 	assert.Assert(t, !first.Grant().MayActAt(suspended.Now()))
 	settle(t, table, first, suspended.Now())
 	assert.Assert(t, !first.Grant().MayActAt(suspended.Now()))
