--- a/internal/core/quota/limiter.go
+++ b/internal/core/quota/limiter.go
@@ -6,28 +6,27 @@
 )
 
 const (
-	// answerRetention is how long an answer is remembered, for a request that is repeated
-	// since its answer was lost, and for what is given back. Requests wait less long before
-	// they are sent to a back end.
+	// answerRetention is how long a decision is stored, for refunds and for requests that are repeated
+	// because the response was lost. Requests are dispatched to a backend sooner than that.
 	answerRetention = 15 * time.Second
-	// pruneInterval lies between two looks for what can be forgotten.
+	// pruneInterval is the minimum time between two removals of expired state.
 	pruneInterval = time.Second
-	// idleRetention is how long a bucket is kept that nobody asks for. Every bucket whose
-	// burst is less than a minute of its rate is full by then.
+	// idleRetention is how long an unused bucket is kept. A bucket whose burst is less than a minute
+	// of its rate is full again by then.
 	idleRetention = time.Minute
-	// resumePause is how long a daemon that grants in the home's place must not have been asked to count as having
-	// resumed, where it heard the home meanwhile.
+	// resumePause is the minimum time without requests after which a daemon that grants on behalf of
+	// the home counts as having resumed, if it heard from the home in the meantime.
 	resumePause = 250 * time.Millisecond
 )
 
-// RequestKey names one request for a part of a limit.
+// RequestKey identifies a request for part of a limit.
 type RequestKey struct {
-	// From is the asking daemon's address, and Number the daemon's own.
+	// From is the address of the requesting daemon, and Number is assigned by that daemon.
 	From   string
 	Number uint64
 }
 
-// Request asks for a part of a limit.
+// Request asks for part of a limit.
 type Request struct {
 	Key   RequestKey
 	Owner Owner
@@ -35,7 +34,7 @@
 	Cost  float64
 }
 
-// answer is what a request was answered.
+// answer is a stored decision.
 type answer struct {
 	at       time.Time
 	owner    Owner
@@ -43,60 +42,62 @@
 	decision Decision
 }
 
-// ownedBucket is an owner's bucket with when it was last asked for.
+// ownedBucket is an owner's bucket with the time of its last request.
 type ownedBucket struct {
 	*Bucket
-	askedAt time.Time
+	lastRequestAt time.Time
 }
 
-// Limiter holds the buckets of the owners that one daemon grants for. It is not safe for
-// use by several goroutines at once.
+// Limiter holds the buckets of the owners for which one daemon grants. It is not safe for
+// concurrent use.
 type Limiter struct {
-	// margin is what each bucket holds beyond the limit's burst.
+	// margin is the capacity of each bucket on top of the limit's burst.
 	margin float64
-	// aloneSince is since when no other daemon grants where this one is the home.
-	aloneSince time.Time
-	buckets    map[Owner]*ownedBucket
-	answers    map[RequestKey]answer
-	prunedAt   time.Time
+	// soleGranterSince is the time since which no other daemon grants for owners whose home is this
+	// daemon.
+	soleGranterSince time.Time
+	buckets          map[Owner]*ownedBucket
+	answers          map[RequestKey]answer
+	prunedAt         time.Time
 }
 
-// NewLimiter makes an empty ledger. Others may have granted in its daemon's place until aloneSince.
-// The margin is what an owner may exceed its limit by, in the unit of the costs.
-func NewLimiter(aloneSince time.Time, margin float64) *Limiter {
+// NewLimiter returns an empty limiter. Other daemons may have granted on behalf of this one until
+// soleGranterSince. The margin is the amount by which an owner may exceed its limit, in the unit
+// of the costs.
+func NewLimiter(soleGranterSince time.Time, margin float64) *Limiter {
 	return &Limiter{
-		margin: margin, aloneSince: aloneSince, prunedAt: aloneSince,
+		margin: margin, soleGranterSince: soleGranterSince, prunedAt: soleGranterSince,
 		buckets: map[Owner]*ownedBucket{}, answers: map[RequestKey]answer{},
 	}
 }
 
-// Role says in which position a daemon grants.
+// Role describes the capacity in which a daemon grants.
 type Role struct {
-	// Home is set if this daemon is the one that is to grant for the owner. Another one
-	// grants in its place while it doesn't answer.
+	// Home is set if this daemon is responsible for the owner. Another daemon substitutes for the home
+	// while it doesn't respond.
 	Home bool
-	// Share of the rate that may be granted, above 0 up to 1.
+	// Share is the fraction of the rate that may be granted, in (0, 1].
 	Share float64
-	// HomeLastSeenAt is when one that isn't the home last heard it; zero is not lately.
+	// HomeLastSeenAt is when a substitute last heard from the home; zero is not recently.
 	HomeLastSeenAt time.Time
 }
 
-// Take answers a request; one that is repeated gets the answer that it got before.
-func (l *Limiter) Take(now time.Time, request Request, standing Role) Decision {
+// Take decides a request. A repeated request gets the same decision as before.
+func (l *Limiter) Take(now time.Time, request Request, role Role) Decision {
 	l.prune(now)
 	if known, found := l.answers[request.Key]; found {
 		return known.decision
 	}
-	bucket := l.bucket(now, request, standing)
-	bucket.askedAt = now
-	bucket.Apply(now, request.Limit, standing.Share)
-	decision := bucket.decide(now, request, standing.Share)
+	bucket := l.bucket(now, request, role)
+	bucket.lastRequestAt = now
+	bucket.Apply(now, request.Limit, role.Share)
+	decision := bucket.decide(now, request, role.Share)
 	l.answers[request.Key] = answer{at: now, owner: request.Owner, cost: request.Cost, decision: decision}
 	return decision
 }
 
-// decide answers a request. A daemon that is refused a part of a back end's limit sends its request elsewhere: nothing is
-// promised to it.
+// decide decides a request. Nothing is reserved for a rejected request for a backend's limit,
+// since the daemon then sends its request to another backend.
 func (b *ownedBucket) decide(now time.Time, request Request, share float64) Decision {
 	if _, isBackend := request.Owner.Backend(); isBackend {
 		return b.TryTake(now, request.Cost, share)
@@ -104,24 +105,25 @@
 	return b.Take(now, request.Cost, share)
 }
 
-// bucket finds or makes the bucket of a request's owner. What this daemon may have granted
-// before it started, or another one before this one grants in its place, is not known, so
-// that a new bucket holds no more than has accrued since, and the margin. Nor is known what the
-// home has granted while one in its place paused: else each change between the two would bring another burst.
-func (l *Limiter) bucket(now time.Time, request Request, standing Role) *ownedBucket {
+// bucket returns the bucket of a request's owner, creating it if necessary. What this daemon
+// granted before a restart, or another one granted on its behalf, is unknown, so a new bucket
+// holds no more than the margin and what has accrued since. What the home granted while a
+// substitute was paused is unknown too; without the cap, each switch between the two would allow
+// another burst.
+func (l *Limiter) bucket(now time.Time, request Request, role Role) *ownedBucket {
 	found := l.buckets[request.Owner]
 	if found != nil {
-		if standing.resumes(now, found.askedAt) {
-			found.Cap(now, standing.Share, l.margin)
+		if role.resumes(now, found.lastRequestAt) {
+			found.Cap(now, role.Share, l.margin)
 		}
 		return found
 	}
-	level := 0.0                            // a margin at each of many starts would add up
-	_, isBackend := request.Owner.Backend() // which gets requests before it names a limit
-	if alone := now.Sub(l.aloneSince); alone > 0 && !isBackend {
+	level := 0.0                            // granting a margin at every restart would add up
+	_, isBackend := request.Owner.Backend() // backends get requests before they declare a limit
+	if alone := now.Sub(l.soleGranterSince); alone > 0 && !isBackend {
 		level = l.margin
-		if standing.Home {
-			level += alone.Seconds() * request.Limit.RatePerSecond * standing.Share
+		if role.Home {
+			level += alone.Seconds() * request.Limit.RatePerSecond * role.Share
 		}
 	}
 	made := &ownedBucket{Bucket: NewBucket(now, request.Limit, l.margin, level)}
@@ -129,13 +131,14 @@
 	return made
 }
 
-// resumes tells whether a daemon grants in the home's place again, after the home may have granted meanwhile.
-func (s Role) resumes(now, askedAt time.Time) bool {
-	return !s.Home && now.Sub(askedAt) > resumePause && s.HomeLastSeenAt.After(askedAt)
+// resumes reports whether a substitute grants again after a pause in which the home may have
+// granted.
+func (r Role) resumes(now, lastRequestAt time.Time) bool {
+	return !r.Home && now.Sub(lastRequestAt) > resumePause && r.HomeLastSeenAt.After(lastRequestAt)
 }
 
-// Refund gives back what a request was granted and did not use. It returns false if that
-// is not known, or was given back before.
+// Refund returns the cost of a granted request that was not used. It returns false if the request
+// is unknown or was refunded before.
 func (l *Limiter) Refund(key RequestKey) bool {
 	known, found := l.answers[key]
 	bucket := l.buckets[known.owner]
@@ -147,7 +150,7 @@
 	return true
 }
 
-// prune forgets what is no longer needed.
+// prune removes expired state.
 func (l *Limiter) prune(now time.Time) {
 	if now.Sub(l.prunedAt) < pruneInterval {
 		return
@@ -155,11 +158,11 @@
 	l.prunedAt = now
 	maps.DeleteFunc(l.answers, func(_ RequestKey, known answer) bool { return now.Sub(known.at) > answerRetention })
 	maps.DeleteFunc(l.buckets, func(_ Owner, bucket *ownedBucket) bool {
-		return now.Sub(bucket.askedAt) > idleRetention
+		return now.Sub(bucket.lastRequestAt) > idleRetention
 	})
 }
 
-// Usage is one owner's bucket as operators see it.
+// Usage is the state of one owner's bucket, as shown to operators.
 type Usage struct {
 	Owner Owner
 	Limit Limit
@@ -167,7 +170,7 @@
 	Level float64
 }
 
-// Usages returns the buckets that this ledger holds.
+// Usages returns the state of all buckets.
 func (l *Limiter) Usages(now time.Time) []Usage {
 	uses := make([]Usage, 0, len(l.buckets))
 	for owner, bucket := range l.buckets {
--- a/internal/core/quota/owner.go
+++ b/internal/core/quota/owner.go
@@ -6,20 +6,21 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// Owner names whose limit it is: a tenant, or one life of a back end. Make it with OwnerOfTenant or OwnerOfBackend.
+// Owner identifies the owner of a limit: a tenant, or one incarnation of a backend. Create it with
+// OwnerOfTenant or OwnerOfBackend.
 type Owner string
 
-// backendMark begins the owners that are back ends. Names of tenants don't hold it.
-const backendMark = "\x00"
+// backendPrefix marks owners that are backends. Tenant names cannot contain it.
+const backendPrefix = "\x00"
 
-// OwnerOfTenant names a tenant.
+// OwnerOfTenant returns the owner for a tenant.
 func OwnerOfTenant(name identity.TenantName) Owner { return Owner(name) }
 
-// OwnerOfBackend names a back end.
-func OwnerOfBackend(id identity.BackendID) Owner { return Owner(backendMark + string(id)) }
+// OwnerOfBackend returns the owner for a backend.
+func OwnerOfBackend(id identity.BackendID) Owner { return Owner(backendPrefix + string(id)) }
 
-// Backend returns the back end that is named; false where it is a tenant.
+// Backend returns the ID of the owning backend, or false if the owner is a tenant.
 func (o Owner) Backend() (identity.BackendID, bool) {
-	id, found := strings.CutPrefix(string(o), backendMark)
+	id, found := strings.CutPrefix(string(o), backendPrefix)
 	return identity.BackendID(id), found
 }
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -17,8 +17,8 @@
 	cost float64
 }
 
-// mostWithin is the largest sum of uses in any window of a length.
-func mostWithin(uses []use, window time.Duration) float64 {
+// maxInWindow returns the largest sum of costs in any window of the given length.
+func maxInWindow(uses []use, window time.Duration) float64 {
 	most := 0.0
 	for first := range uses {
 		sum := 0.0
@@ -33,8 +33,8 @@
 	return most
 }
 
-// TestBucketKeepsItsLimit draws requests of any size at any time: in no window more is
-// granted than accrues, the burst, the margin and what the last request overdraws.
+// TestBucketKeepsItsLimit draws requests of any size at any time. In no window may more be granted
+// than what accrues plus the burst, the margin and the overdraft of the last request.
 func TestBucketKeepsItsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{Version: 1, RatePerSecond: rapid.Float64Range(10, 1000).Draw(t, "rate"), Burst: rapid.Float64Range(0, 2000).Draw(t, "burst")}
@@ -53,11 +53,11 @@
 		window := time.Duration(rapid.IntRange(1, 8000).Draw(t, "window")) * time.Millisecond
 		overdrawn := max(largest-limit.Burst-margin, 0)
 		bound := window.Seconds()*limit.RatePerSecond + limit.Burst + margin + overdrawn
-		assert.Assert(t, mostWithin(uses, window) <= bound*1.000001, "%v > %v", mostWithin(uses, window), bound)
+		assert.Assert(t, maxInWindow(uses, window) <= bound*1.000001, "%v > %v", maxInWindow(uses, window), bound)
 	})
 }
 
-// TestUseBelowTheLimitIsGranted sends nine tenths of the rate in requests of one size.
+// TestUseBelowTheLimitIsGranted sends requests of one size at 90% of the rate.
 func TestUseBelowTheLimitIsGranted(t *testing.T) {
 	bucket := NewBucket(start, Limit{Version: 1, RatePerSecond: 1000, Burst: 500}, 0, 500)
 	for number := range 1000 {
@@ -66,27 +66,28 @@
 	}
 }
 
-// TestWaitIsWhenThereIsRoom comes back when it was told to, and is granted.
-func TestWaitIsWhenThereIsRoom(t *testing.T) {
+// TestRetryAfterWaitIsGranted checks that a rejected request is granted if it returns after the
+// announced wait.
+func TestRetryAfterWaitIsGranted(t *testing.T) {
 	bucket := NewBucket(start, Limit{Version: 1, RatePerSecond: 100, Burst: 100}, 0, 0)
 	refused := bucket.Take(start, 60, 1)
 	assert.Equal(t, refused, Decision{Wait: 600 * time.Millisecond})
-	// The next one is told to come after it.
+	// The next request is told to return after the first one.
 	assert.Equal(t, bucket.Take(start, 60, 1).Wait, 1200*time.Millisecond)
 	assert.Assert(t, bucket.Take(start.Add(refused.Wait), 60, 1).Granted)
 	assert.Assert(t, !bucket.Take(start.Add(refused.Wait), 60, 1).Granted)
-	assert.Equal(t, NewBucket(start, Limit{Version: 1, RatePerSecond: 100, Burst: 100}, 0, 99.9).Take(start, 100, 1).Wait, minimumWait)
+	assert.Equal(t, NewBucket(start, Limit{Version: 1, RatePerSecond: 100, Burst: 100}, 0, 99.9).Take(start, 100, 1).Wait, minWait)
 	slow := NewBucket(start, Limit{Version: 1, RatePerSecond: 1, Burst: 100}, 0, 0)
-	assert.Equal(t, slow.Take(start, 60, 1).Wait, maximumWait)
+	assert.Equal(t, slow.Take(start, 60, 1).Wait, maxWait)
 }
 
-// TestLowerLimitHoldsAtOnce applies a newer limit, and ignores an older one.
-func TestLowerLimitHoldsAtOnce(t *testing.T) {
-	ledger := NewLimiter(start, 0)
+// TestLowerLimitAppliesAtOnce applies a newer limit, and ignores an older one.
+func TestLowerLimitAppliesAtOnce(t *testing.T) {
+	limiter := NewLimiter(start, 0)
 	now := start.Add(time.Hour)
 	ask := func(number, version uint64, rate, cost float64) bool {
 		request := Request{Key: RequestKey{"a", number}, Owner: "t", Limit: Limit{version, rate, rate}, Cost: cost}
-		return ledger.Take(now, request, Role{Home: true, Share: 1}).Granted
+		return limiter.Take(now, request, Role{Home: true, Share: 1}).Granted
 	}
 	assert.Assert(t, ask(1, 7, 1000, 100))
 	assert.Assert(t, ask(2, 8, 10, 10), "the lower limit's burst is there")
@@ -94,41 +95,42 @@
 	assert.Assert(t, !ask(4, 7, 1000, 10), "an older configuration's limit came back")
 }
 
-// TestRepeatedRequestTakesOnce repeats a request whose answer was lost, and gives back once.
+// TestRepeatedRequestTakesOnce repeats a request as if its response was lost: it is charged and
+// refunded only once.
 func TestRepeatedRequestTakesOnce(t *testing.T) {
-	ledger := NewLimiter(start, 0)
+	limiter := NewLimiter(start, 0)
 	now := start.Add(time.Hour)
 	request := func(number uint64) Request {
 		return Request{Key: RequestKey{"a", number}, Owner: "t", Limit: Limit{1, 1, 100}, Cost: 60}
 	}
 	home := Role{Home: true, Share: 1}
 	for range 3 {
-		assert.Assert(t, ledger.Take(now, request(1), home).Granted)
+		assert.Assert(t, limiter.Take(now, request(1), home).Granted)
 	}
-	assert.Assert(t, !ledger.Take(now, request(2), home).Granted)
-	assert.Assert(t, ledger.Refund(request(1).Key))
-	assert.Assert(t, !ledger.Refund(request(1).Key))
-	assert.Assert(t, !ledger.Refund(request(2).Key))
-	assert.Assert(t, ledger.Take(now, request(3), home).Granted)
-	assert.Assert(t, !ledger.Take(now, request(4), home).Granted)
+	assert.Assert(t, !limiter.Take(now, request(2), home).Granted)
+	assert.Assert(t, limiter.Refund(request(1).Key))
+	assert.Assert(t, !limiter.Refund(request(1).Key))
+	assert.Assert(t, !limiter.Refund(request(2).Key))
+	assert.Assert(t, limiter.Take(now, request(3), home).Granted)
+	assert.Assert(t, !limiter.Take(now, request(4), home).Granted)
 }
 
-// TestUnknownUseIsNotGrantedAgain starts buckets where another daemon may have granted the
-// burst just before.
+// TestUnknownUseIsNotGrantedAgain creates buckets where another daemon may have granted the burst
+// just before.
 func TestUnknownUseIsNotGrantedAgain(t *testing.T) {
-	for _, standing := range []Role{{Home: false, Share: 1}, {Home: true, Share: 1}} {
-		ledger := NewLimiter(start, 10)
+	for _, role := range []Role{{Home: false, Share: 1}, {Home: true, Share: 1}} {
+		limiter := NewLimiter(start, 10)
 		request := Request{Key: RequestKey{"a", 1}, Owner: "t", Limit: Limit{1, 100, 100}, Cost: 100}
-		assert.Assert(t, !ledger.Take(start, request, standing).Granted)
+		assert.Assert(t, !limiter.Take(start, request, role).Granted)
 		request.Key.Number = 2
-		assert.Assert(t, ledger.Take(start.Add(time.Second), request, standing).Granted)
+		assert.Assert(t, limiter.Take(start.Add(time.Second), request, role).Granted)
 	}
 }
 
-// BenchmarkTake measures one decision of a ledger among 15,000 tenants. It took 240 ns when
-// the ledger was new.
+// BenchmarkTake measures one decision of a limiter with 15,000 tenants: 240 ns when it was
+// introduced.
 func BenchmarkTake(b *testing.B) {
-	ledger := NewLimiter(start, 10)
+	limiter := NewLimiter(start, 10)
 	tenants := make([]Request, 15000)
 	for index := range tenants {
 		tenants[index] = Request{Owner: tenantName(index), Limit: Limit{1, 100, 100}, Cost: 1}
@@ -138,7 +140,7 @@
 		now = now.Add(100 * time.Microsecond)
 		request := tenants[number%len(tenants)]
 		request.Key = RequestKey{"a", uint64(number)}
-		ledger.Take(now, request, Role{Home: true, Share: 1})
+		limiter.Take(now, request, Role{Home: true, Share: 1})
 	}
 }
 
