--- a/internal/core/routing/configuration.go
+++ b/internal/core/routing/configuration.go
@@ -1,7 +1,6 @@
-// Package routing holds the configuration of routes, services and tenants, and
-// finds the route and the tenant of a request in it. A compiled Table is
-// immutable: a request that took one keeps it for its whole life. The package is
-// pure.
+// Package routing holds the configuration of routes, services and tenants, and looks up the route
+// and the tenant of a request. A compiled Table is immutable: a request keeps the table it started
+// with until it ends. The package performs no I/O and reads no clock.
 package routing
 
 import (
@@ -10,23 +9,23 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// Kind says how often a request of a route may run.
+// Kind says how often a request of a route may be executed.
 type Kind string
 
 // The kinds of route.
 const (
-	// KindSafe requests may run any number of times.
+	// KindSafe requests may be executed any number of times.
 	KindSafe Kind = "safe"
-	// KindUnsafe requests run at most once.
+	// KindUnsafe requests are executed at most once.
 	KindUnsafe Kind = "unsafe"
-	// KindStreaming requests are answered by a stream of events. They run at most
-	// once unless the route is resumable.
+	// KindStreaming requests are answered by an event stream. They are executed at most once unless
+	// the route is resumable.
 	KindStreaming Kind = "streaming"
 )
 
 // Configuration is one version of what operators declare.
 type Configuration struct {
-	// Version orders configurations; a newer one is larger.
+	// Version orders configurations; newer ones have higher versions.
 	Version  uint64
 	Routes   []Route
 	Services []Service
@@ -34,42 +33,40 @@
 	Limits   Limits
 }
 
-// Route maps requests of a host and path prefix to services.
+// Route maps requests with a host and path prefix to services.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
-	// Timeout is how long a request is held at most; zero is no bound.
+	// Timeout bounds the total time of a request; zero is no bound.
 	Timeout time.Duration
-	// TargetLatency is the time to the first byte (of streams: the first event)
-	// within which the answer is worth most.
+	// TargetLatency is the target for the time to the first byte (for streams: the first event).
 	TargetLatency time.Duration
-	// GapTarget is the longest pause between events of a stream that is in time.
+	// GapTarget is the target for the longest pause between events of a stream.
 	GapTarget time.Duration
-	// Priority is the rank of the requests; 0 goes first.
+	// Priority orders requests; 0 is the highest.
 	Priority int
-	// Split are the services with their weights; never empty.
+	// Split lists the services with their weights; it is never empty.
 	Split []Share
-	// MaxAttempts is how many back ends one request may run on.
+	// MaxAttempts is the maximum number of backends to which one request is sent.
 	MaxAttempts    int
 	AllowAnonymous bool
 	Resumable      bool
 }
 
-// Repeatable tells whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may be executed more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindSafe || (r.Kind == KindStreaming && r.Resumable)
 }
 
-// Share is the part of a route's requests that goes to one service.
+// Share is a service's weight in the traffic split of a route.
 type Share struct {
 	Service identity.ServiceName
 	Weight  int
 }
 
-// Service is a group of back ends that serve the same work, or a store of
-// prompt caches.
+// Service is a group of interchangeable backends, or a store of prompt caches.
 type Service struct {
 	Name           identity.ServiceName
 	MaxConnections int
@@ -79,7 +76,7 @@
 	PromptStore *PromptStore
 }
 
-// Engine tells what a service's language-model back ends can hold.
+// Engine describes the capacity of a service's language-model backends.
 type Engine struct {
 	Slots          int
 	CapacityTokens int
@@ -88,50 +85,49 @@
 	Models     []identity.ModelName
 }
 
-// PromptStore is where back ends save prompt caches to and fetch them from.
+// PromptStore is a store to which backends save prompt caches and from which they load them.
 type PromptStore struct {
 	// Address is IP:port.
 	Address        string
 	Zone           identity.Zone
 	CapacityTokens int
-	// LinkBitsPerSecond is how fast the store sends and takes caches.
+	// LinkBitsPerSecond is the store's bandwidth for sending and receiving caches.
 	LinkBitsPerSecond float64
 }
 
-// Tenant owns keys.
+// Tenant is a customer, identified by API keys.
 type Tenant struct {
 	Name identity.TenantName
 	Keys []string
-	// Priority takes precedence over the route's unless nil.
+	// Priority overrides the route's unless nil.
 	Priority *int
 	// Isolated tenants share no cached prompts with others.
 	Isolated bool
-	// Limit bounds what the tenant may use at all daemons together; nil is no bound.
+	// Limit bounds the tenant's use across all daemons; nil is no bound.
 	Limit *TenantLimit
 }
 
-// LimitUnit is what a tenant's limit counts.
+// LimitUnit is the unit of a tenant's limit.
 type LimitUnit string
 
 // The units of limits.
 const (
 	// LimitRequests counts each request as one.
 	LimitRequests LimitUnit = "requests"
-	// LimitTokens counts the tokens of a request's prompt, and the most of its answer.
+	// LimitTokens counts a request's prompt tokens plus the maximum number of response tokens.
 	LimitTokens LimitUnit = "tokens"
 )
 
-// TenantLimit is how much a tenant may use.
+// TenantLimit is the rate limit of a tenant.
 type TenantLimit struct {
 	Unit LimitUnit
 	// RatePerSecond and Burst are in the unit.
 	RatePerSecond, Burst float64
-	// PlainTokens is what a request counts as that declares no tokens, where these are
-	// counted.
+	// PlainTokens is the cost of a request that declares no tokens, if the unit is tokens.
 	PlainTokens int
 }
 
-// Cost is what a request with a number of declared tokens counts as, zero for none.
+// Cost returns the cost of a request that declares a number of tokens, zero if it declares none.
 func (l *TenantLimit) Cost(declaredTokens int) float64 {
 	switch {
 	case l.Unit != LimitTokens:
@@ -143,7 +139,7 @@
 	}
 }
 
-// Limits bound what callers may send.
+// Limits bound the size and the duration of what callers send.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
--- a/internal/core/routing/table.go
+++ b/internal/core/routing/table.go
@@ -10,7 +10,7 @@
 	"github.com/lotusward/lotusward/internal/core/rendezvous"
 )
 
-// Table is a compiled configuration. It is safe for use by several goroutines.
+// Table is a compiled configuration. It is safe for concurrent use.
 type Table struct {
 	configuration *Configuration
 	byHost        map[string][]*compiledRoute
@@ -19,14 +19,14 @@
 	promptStores  []*PromptStore
 }
 
-// compiledRoute is a route with the turn of its split.
+// compiledRoute is a route with the position in its traffic split.
 type compiledRoute struct {
 	route       *Route
 	totalWeight uint64
-	turn        atomic.Uint64
+	sequence    atomic.Uint64
 }
 
-// Compile makes a Table of a configuration, which must not change afterwards.
+// Compile returns the Table of a configuration, which must not be modified afterwards.
 func Compile(configuration *Configuration) *Table {
 	table := &Table{
 		configuration: configuration,
@@ -72,10 +72,10 @@
 	}
 }
 
-// Configuration returns what the table was compiled from.
+// Configuration returns the configuration from which the table was compiled.
 func (t *Table) Configuration() *Configuration { return t.configuration }
 
-// Version is the configuration's version.
+// Version returns the configuration's version.
 func (t *Table) Version() uint64 { return t.configuration.Version }
 
 // Service returns a service by name, or nil.
@@ -84,8 +84,8 @@
 // PromptStores returns the stores of prompt caches.
 func (t *Table) PromptStores() []*PromptStore { return t.promptStores }
 
-// PromptStore returns the store in which a part belongs, by the part's hash, or nil
-// when there is none. All daemons find the same one without talking.
+// PromptStore returns the store responsible for a prompt part, given the part's hash, or nil if
+// there is none. All daemons choose the same store without coordination.
 func (t *Table) PromptStore(part uint64) *PromptStore {
 	var found *PromptStore
 	var best uint64
@@ -97,11 +97,10 @@
 	return found
 }
 
-// RequiresKey tells whether requests need a key on routes that are not open to
-// anonymous callers.
+// RequiresKey reports whether requests need a key on routes that don't allow anonymous callers.
 func (t *Table) RequiresKey() bool { return len(t.configuration.Tenants) > 0 }
 
-// Tenant returns the tenant that holds a key, or nil.
+// Tenant returns the tenant to which a key belongs, or nil.
 func (t *Table) Tenant(key string) *Tenant {
 	if key == "" {
 		return nil
@@ -109,14 +108,14 @@
 	return t.tenants[key]
 }
 
-// Match is a request's route and the service that its turn fell on.
+// Match is a request's route and the service selected by its traffic split.
 type Match struct {
 	Route   *Route
 	Service identity.ServiceName
 }
 
-// Match finds the route of a host and path: the one of that host with the
-// longest prefix that begins the path. It returns false when there is none.
+// Match finds the route of the host whose path prefix is the longest match. It returns false if
+// there is none.
 func (t *Table) Match(host, path string) (Match, bool) {
 	for _, compiled := range t.byHost[strings.ToLower(withoutPort(host))] {
 		if strings.HasPrefix(path, compiled.route.PathPrefix) {
@@ -126,7 +125,7 @@
 	return Match{}, false
 }
 
-// withoutPort cuts a port off a host.
+// withoutPort strips the port from a host.
 func withoutPort(host string) string {
 	if name, _, found := strings.Cut(host, ":"); found {
 		return name
@@ -134,14 +133,14 @@
 	return host
 }
 
-// nextService deals the route's requests out by weight. The turn steps through
-// the weights by a number that shares no factor with their sum, so that any few
-// requests in a row are close to the weights.
+// nextService selects a service by weighted round-robin. Successive positions are a step apart
+// that is coprime with the total weight, so that any short run of requests comes close to the
+// weights.
 func (c *compiledRoute) nextService() identity.ServiceName {
 	if len(c.route.Split) == 1 || c.totalWeight == 0 {
 		return c.route.Split[0].Service
 	}
-	position := (c.turn.Add(1) * goldenStep(c.totalWeight)) % c.totalWeight
+	position := (c.sequence.Add(1) * coprimeStep(c.totalWeight)) % c.totalWeight
 	for _, share := range c.route.Split {
 		weight := uint64(max(share.Weight, 0))
 		if position < weight {
@@ -152,9 +151,8 @@
 	return c.route.Split[0].Service
 }
 
-// goldenStep returns a number near 0.618 of the total that shares no factor
-// with it.
-func goldenStep(total uint64) uint64 {
+// coprimeStep returns a number near 0.618 of the total (the golden ratio) that is coprime with it.
+func coprimeStep(total uint64) uint64 {
 	step := max(total*618/1000, 1)
 	for greatestCommonDivisor(step, total) != 1 {
 		step++
--- a/internal/core/routing/table_test.go
+++ b/internal/core/routing/table_test.go
@@ -10,7 +10,7 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// TestMatchAgreesWithSearch compares Match with a search over all routes.
+// TestMatchAgreesWithSearch compares Match with a linear search over all routes.
 func TestMatchAgreesWithSearch(t *testing.T) {
 	segments := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "ab"}), 0, 3)
 	hosts := rapid.SampledFrom([]string{"one.example", "two.example"})
@@ -47,7 +47,8 @@
 	})
 }
 
-// TestSplitKeepsWeights deals out whole turns and expects each service's exact weight.
+// TestSplitKeepsWeights checks that each service gets exactly its weight over a full cycle of the
+// split.
 func TestSplitKeepsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first := rapid.IntRange(0, 200).Draw(t, "first weight")
@@ -66,7 +67,7 @@
 	})
 }
 
-// TestTenantByKey finds a tenant by any of its keys and nobody without one.
+// TestTenantByKey looks up a tenant by each of its keys, and none without a key.
 func TestTenantByKey(t *testing.T) {
 	table := Compile(&Configuration{Tenants: []Tenant{{Name: "a", Keys: []string{"k1", "k2"}}}})
 	assert.Equal(t, table.Tenant("k2").Name, identity.TenantName("a"))
@@ -75,8 +76,8 @@
 	assert.Assert(t, table.RequiresKey())
 }
 
-// TestPartsAreSpreadOverStores finds the same store for a part whatever the order of
-// the configuration, and uses all of them.
+// TestPartsAreSpreadOverStores checks that a part's store doesn't depend on the order of the
+// configuration, and that all stores are used.
 func TestPartsAreSpreadOverStores(t *testing.T) {
 	var services []Service
 	for _, address := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
