--- a/internal/core/promptcache/promptcache.go
+++ b/internal/core/promptcache/promptcache.go
@@ -1,7 +1,7 @@
-// Package promptcache remembers which back ends the shared parts of prompts went
-// to, from this daemon and from others, and which parts this daemon asked to be
-// saved, so that a part is moved rather than read again, and not moved needlessly.
-// It is bounded, does no I/O and reads no clock.
+// Package promptcache tracks which backends hold the shared parts of prompts in their caches, from
+// this daemon's requests and from those of others, and which parts this daemon asked to be saved.
+// A cached part is then transferred instead of computed again, and not transferred needlessly. The
+// index is bounded, performs no I/O and reads no clock.
 package promptcache
 
 import (
@@ -13,30 +13,31 @@
 	"github.com/lotusward/lotusward/internal/core/rendezvous"
 )
 
-// Bounds of what is remembered and saved.
+// Bounds of what is tracked and saved.
 const (
 	defaultCapacity = 8192
-	// maximumHolders bounds the back ends remembered for a part. Parts that begin many
-	// prompts are held by most of them.
-	maximumHolders = 96
-	// maximumUntold bounds the facts that wait to be told to other daemons.
-	maximumUntold = 128
-	// leastSharedShare of a prompt must be shared for it to be saved: a save moves
-	// the prompt's own part as well.
-	leastSharedShare = 0.5
-	// saveAgainAfter is after how long a part is saved anew if the store doesn't have
-	// it: the save may not have been begun, or the part was dropped since.
-	saveAgainAfter = 3 * time.Second
-	// holderTime is how long a back end is believed to hold a part that nobody asks for.
-	holderTime = 25 * time.Second
-	// LargeTokens is from how many tokens on other daemons are told of a part, and asked for it.
+	// maxHolders bounds the backends tracked for a part. Parts that begin many prompts are held by
+	// most backends.
+	maxHolders = 96
+	// maxPending bounds the facts waiting to be sent to other daemons.
+	maxPending = 128
+	// minSharedFraction is the fraction of a prompt that must be shared for it to be saved, because a
+	// save transfers the prompt's private part as well.
+	minSharedFraction = 0.5
+	// resaveInterval is the time after which a part is saved again if the store doesn't have it: the
+	// save may not have started, or the part was evicted since.
+	resaveInterval = 3 * time.Second
+	// holderTTL is how long a backend is assumed to hold a part that nobody requests.
+	holderTTL = 25 * time.Second
+	// LargeTokens is the size in tokens from which all daemons are notified of a part, and queried for
+	// it.
 	LargeTokens = 512
-	// retellAfter is after how long it is told again that a back end holds a part.
-	retellAfter = 8 * time.Second
-	// eventTime is how late it is told that a back end has dropped a part.
-	eventTime = 300 * time.Millisecond
-	// readingTime is how long a back end is believed to be about to read a part.
-	readingTime = 3 * time.Second
+	// reannounceInterval is the time after which it is announced again that a backend holds a part.
+	reannounceInterval = 8 * time.Second
+	// maxDropDelay is the maximum delay of the notification that a backend has dropped a part.
+	maxDropDelay = 300 * time.Millisecond
+	// readingTTL is how long a backend is assumed to be about to read a part.
+	readingTTL = 3 * time.Second
 )
 
 // Key is the hash of a shared part and its salt.
@@ -45,60 +46,61 @@
 // KeyOf hashes a part's ID and its salt.
 func KeyOf(salt, part string) Key { return Key(rendezvous.Key(salt + "\x00" + part)) }
 
-// Fact says that a request with a part went to a back end.
+// Fact reports that a request with a part was sent to a backend, or that the backend has read or
+// dropped the part.
 type Fact struct {
 	Part Key
-	// Backend is the hash of the back end's ID.
+	// Backend is the hash of the backend's ID.
 	Backend uint64
-	// Read is set once the back end has read the part.
+	// Read is set once the backend has read the part.
 	Read bool
-	// Dropped is set when the back end holds the part no longer.
+	// Dropped is set if the backend no longer holds the part.
 	Dropped bool
-	// Tokens is how large the part is with all before it. It is not told to others.
+	// Tokens is the size of the part including everything before it. It is not sent to other daemons.
 	Tokens int
 }
 
-// IsBroadcast tells whether the fact is worth telling all daemons.
+// IsBroadcast reports whether the fact is sent to all daemons.
 func (f Fact) IsBroadcast() bool { return f.Tokens >= LargeTokens }
 
 type holder struct {
 	backend uint64
 	at      time.Time
 	read    bool
-	// toldAt is when all daemons were last told that it was read.
-	toldAt time.Time
+	// announcedAt is when all daemons were last notified that the backend has read the part.
+	announcedAt time.Time
 }
 
 type record struct {
 	key Key
-	// holders are the back ends of the last requests, newest first.
+	// holders are the backends of the latest requests, newest first.
 	holders []holder
 	savedAt time.Time
-	// tokens is how large the part is known to be.
+	// tokens is the known size of the part.
 	tokens int
 }
 
-// Index is safe for use by several goroutines.
+// Index records which backends hold which parts. It is safe for concurrent use.
 type Index struct {
 	mutex    sync.Mutex
 	capacity int
 	records  map[Key]*list.Element
 	order    *list.List // most recently used first
-	untold   []Fact
+	pending  []Fact
 }
 
-// New makes an empty memory.
+// New returns an empty index.
 func New() *Index {
 	return &Index{capacity: defaultCapacity, records: map[Key]*list.Element{}, order: list.New()}
 }
 
-// Holders are the back ends that most likely hold a part, the likeliest first.
+// Holders are the backends that most likely hold a part, the most recent first.
 type Holders struct {
-	// Read have read it; Reading are about to.
+	// Read have read the part; Reading are about to.
 	Read, Reading []uint64
 }
 
-// Holders returns what is believed of a part.
+// Holders returns the presumed holders of a part.
 func (m *Index) Holders(now time.Time, key Key) Holders {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -110,56 +112,56 @@
 	for _, known := range element.Value.(*record).holders {
 		age := now.Sub(known.at)
 		switch {
-		case known.read && age <= holderTime:
+		case known.read && age <= holderTTL:
 			holders.Read = append(holders.Read, known.backend)
-		case !known.read && age <= readingTime:
+		case !known.read && age <= readingTTL:
 			holders.Reading = append(holders.Reading, known.backend)
 		}
 	}
 	return holders
 }
 
-// RecordDispatch notes that this daemon sends a request with the part to a back end. It
-// returns true when the part should be saved if the store lacks it: its tokens are
-// most of the prompt's, and it was not saved lately.
+// RecordDispatch records that this daemon sends a request with the part to a backend. It returns
+// true if the part should be saved unless the store has it: the shared tokens are most of the
+// prompt, and it was not saved recently.
 func (m *Index) RecordDispatch(now time.Time, fact Fact, sharedTokens, promptTokens int) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	found := m.note(now, fact)
-	m.tell(now, found, fact)
-	if float64(sharedTokens) < leastSharedShare*float64(promptTokens) {
+	found := m.recordHolder(now, fact)
+	m.enqueue(now, found, fact)
+	if float64(sharedTokens) < minSharedFraction*float64(promptTokens) {
 		return false
 	}
-	if !found.savedAt.IsZero() && now.Sub(found.savedAt) < saveAgainAfter {
+	if !found.savedAt.IsZero() && now.Sub(found.savedAt) < resaveInterval {
 		return false
 	}
 	found.savedAt = now
 	return true
 }
 
-// RecordRead notes that a back end has read a part that this daemon sent there.
+// RecordRead records that a backend has read a part that this daemon sent to it.
 func (m *Index) RecordRead(now time.Time, fact Fact) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	fact.Read = true
-	m.tell(now, m.note(now, fact), fact)
+	m.enqueue(now, m.recordHolder(now, fact), fact)
 }
 
-// tell leaves a fact to be told, unless the others know of the holder already.
-func (m *Index) tell(now time.Time, found *record, fact Fact) {
-	told := &found.holders[0]
-	if told.read && !told.toldAt.IsZero() && now.Sub(told.toldAt) < retellAfter {
+// enqueue queues a fact for other daemons, unless they were recently notified of the holder.
+func (m *Index) enqueue(now time.Time, found *record, fact Fact) {
+	newest := &found.holders[0]
+	if newest.read && !newest.announcedAt.IsZero() && now.Sub(newest.announcedAt) < reannounceInterval {
 		return
 	}
 	if fact.Read {
-		told.toldAt = now
+		newest.announcedAt = now
 	}
-	if len(m.untold) < maximumUntold {
-		m.untold = append(m.untold, fact)
+	if len(m.pending) < maxPending {
+		m.pending = append(m.pending, fact)
 	}
 }
 
-// Merge notes what another daemon has sent.
+// Merge records the facts received from another daemon.
 func (m *Index) Merge(now time.Time, facts []Fact) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -168,25 +170,24 @@
 			m.drop(now, fact)
 			continue
 		}
-		found := m.note(now, fact)
+		found := m.recordHolder(now, fact)
 		if fact.Read {
-			found.holders[0].toldAt = now
+			found.holders[0].announcedAt = now
 		}
 	}
 }
 
-// DrainPending returns the facts that other daemons were not told of yet, and counts
-// them as told.
+// DrainPending returns the facts to send to other daemons, and clears the queue.
 func (m *Index) DrainPending() []Fact {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	facts := m.untold
-	m.untold = nil
+	facts := m.pending
+	m.pending = nil
 	return facts
 }
 
-// RecordDrop notes that a back end holds a part no longer, and leaves it to be told if
-// the part is known here, since others know it then too.
+// RecordDrop records that a backend no longer holds a part. It is sent to other daemons if the
+// part is in this index, since they then have it too.
 func (m *Index) RecordDrop(now time.Time, fact Fact) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -194,21 +195,21 @@
 	if element := m.records[fact.Part]; element != nil {
 		fact.Tokens = element.Value.(*record).tokens
 	}
-	if m.drop(now, fact) && len(m.untold) < maximumUntold {
-		m.untold = append(m.untold, fact)
+	if m.drop(now, fact) && len(m.pending) < maxPending {
+		m.pending = append(m.pending, fact)
 	}
 }
 
-// RecordHeld notes that a back end holds a part, which need not be told.
+// RecordHeld records that a backend holds a part, without notifying other daemons.
 func (m *Index) RecordHeld(now time.Time, fact Fact) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	fact.Read = true
-	m.note(now, fact)
+	m.recordHolder(now, fact)
 }
 
-// drop forgets that a back end holds a part, unless a request has just brought it
-// there again. It returns true when the back end was known to hold it.
+// drop removes a holder of a part, unless a request has just brought the part there again. It
+// returns true if the backend was a known holder.
 func (m *Index) drop(now time.Time, fact Fact) bool {
 	element := m.records[fact.Part]
 	if element == nil {
@@ -217,32 +218,33 @@
 	found := element.Value.(*record)
 	before := len(found.holders)
 	found.holders = slices.DeleteFunc(found.holders, func(known holder) bool {
-		return known.backend == fact.Backend && now.Sub(known.at) > eventTime
+		return known.backend == fact.Backend && now.Sub(known.at) > maxDropDelay
 	})
 	return len(found.holders) < before
 }
 
-// note makes a back end the newest holder of a part. What it has read once it is
-// believed to hold.
-func (m *Index) note(now time.Time, fact Fact) *record {
-	found := m.touch(fact.Part)
+// recordHolder makes a backend the newest holder of a part. A part that it has read before stays
+// marked as read.
+func (m *Index) recordHolder(now time.Time, fact Fact) *record {
+	found := m.getOrCreate(fact.Part)
 	found.tokens = max(found.tokens, fact.Tokens)
 	newest := holder{backend: fact.Backend, at: now, read: fact.Read}
 	found.holders = slices.DeleteFunc(found.holders, func(known holder) bool {
 		if known.backend != fact.Backend {
 			return false
 		}
-		newest.read = newest.read || (known.read && now.Sub(known.at) <= holderTime)
-		newest.toldAt = known.toldAt
+		newest.read = newest.read || (known.read && now.Sub(known.at) <= holderTTL)
+		newest.announcedAt = known.announcedAt
 		return true
 	})
 	found.holders = slices.Insert(found.holders, 0, newest)
-	found.holders = found.holders[:min(len(found.holders), maximumHolders)]
+	found.holders = found.holders[:min(len(found.holders), maxHolders)]
 	return found
 }
 
-// touch returns the key's record, made if there is none, as the newest.
-func (m *Index) touch(key Key) *record {
+// getOrCreate returns the record of a key, creating it if necessary, and marks it as most recently
+// used.
+func (m *Index) getOrCreate(key Key) *record {
 	if element := m.records[key]; element != nil {
 		m.order.MoveToFront(element)
 		return element.Value.(*record)
