--- a/internal/core/outcome/outcome.go
+++ b/internal/core/outcome/outcome.go
@@ -1,29 +1,29 @@
-// Package outcome is the one place that decides what may be said about whether
-// a request ran, and whether it may be sent to a back end again. It is pure.
+// Package outcome is the single place that decides what can be claimed about whether a request was
+// executed, and whether it may be dispatched again. It performs no I/O.
 package outcome
 
 import "github.com/lotusward/lotusward/internal/core/identity"
 
-// Evidence is what is known about one attempt. A later value tells of more that
-// the back end may have done.
+// Evidence is what is known about one attempt. A higher value means that the backend may have done
+// more.
 type Evidence int
 
-// The kinds of evidence, in rising order of what the back end may have done.
+// The kinds of evidence, in ascending order of what the backend may have done.
 const (
-	// NotDispatched says that the attempt was never given to a back end.
+	// NotDispatched means that the attempt was never sent to a backend.
 	NotDispatched Evidence = iota
-	// Unreached says that there was no connection, or that no byte of the request
-	// was given to the network on it and none can be any more.
+	// Unreached means that there was no connection, or that no byte of the request was or can still be
+	// written to it.
 	Unreached
-	// DeclaredNotRun says that the back end itself refused with run state not_run.
+	// DeclaredNotRun means that the backend itself rejected the request with run state not_run.
 	DeclaredNotRun
-	// Sent says that at least one byte left and that nothing certain came back.
+	// Sent means that at least one byte was sent and that no conclusive response was received.
 	Sent
-	// Answered says that the back end began its answer.
+	// Answered means that the backend began its response.
 	Answered
 )
 
-// String gives the evidence's name for logs and metrics.
+// String returns the evidence's name for logs and metrics.
 func (e Evidence) String() string {
 	switch e {
 	case NotDispatched:
@@ -41,7 +41,7 @@
 	}
 }
 
-// RunState is what may be said after a single attempt with this evidence.
+// RunState returns the run state implied by a single attempt with this evidence.
 func (e Evidence) RunState() identity.RunState {
 	switch e {
 	case NotDispatched, Unreached, DeclaredNotRun:
@@ -53,8 +53,8 @@
 	}
 }
 
-// FromRefusal reads the run state that a back end put on a refusal. Without a
-// known state nothing certain was said.
+// FromRefusal returns the evidence of the run state in a backend's rejection. A missing or unknown
+// state is inconclusive.
 func FromRefusal(state identity.RunState) Evidence {
 	switch state {
 	case identity.RunStateNotRun:
@@ -66,30 +66,30 @@
 	}
 }
 
-// History gathers the evidence of all attempts of one request. The zero value
-// is a request that was never dispatched.
+// History accumulates the evidence of all attempts of one request. The zero value is a request
+// that was never dispatched.
 type History struct {
 	attempts int
 	worst    Evidence
 }
 
-// Record adds one ended attempt.
+// Record adds a finished attempt.
 func (h *History) Record(evidence Evidence) {
 	h.attempts++
 	h.worst = max(h.worst, evidence)
 }
 
-// Attempts is the number of recorded attempts.
+// Attempts returns the number of recorded attempts.
 func (h *History) Attempts() int { return h.attempts }
 
-// RunState is what may be said about the request over all its attempts. It is
-// not_run only when that is certain of every attempt.
+// RunState returns the run state over all attempts. It is not_run only if that is certain for each
+// of them.
 func (h *History) RunState() identity.RunState {
 	return h.worst.RunState()
 }
 
-// MayDispatch tells whether the request may be given to a back end now. A
-// request that must run at most once may only when it certainly did not run.
+// MayDispatch reports whether the request may be dispatched now. A request that must be executed
+// at most once may be dispatched only if it certainly was not executed.
 func (h *History) MayDispatch(repeatable bool) bool {
 	return repeatable || h.RunState() == identity.RunStateNotRun
 }
--- a/internal/core/outcome/outcome_test.go
+++ b/internal/core/outcome/outcome_test.go
@@ -9,16 +9,15 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// attempt is what truly happened, and what the daemon could see of it.
+// attempt is what really happened, and what the daemon could observe of it.
 type attempt struct {
 	ran      bool
 	evidence Evidence
 }
 
-// draw makes an attempt whose evidence is honest: what the daemon can see rules
-// nothing out that happened.
-func draw(t *rapid.T) attempt {
-	// Most are of the doubtful kind, where a wrong rule shows.
+// drawAttempt draws an attempt whose evidence is consistent with what happened.
+func drawAttempt(t *rapid.T) attempt {
+	// Most attempts are inconclusive, since those are where a wrong rule shows.
 	evidence := rapid.SampledFrom([]Evidence{
 		NotDispatched, Unreached, DeclaredNotRun, Answered, Sent, Sent, Sent, Sent,
 	}).Draw(t, "evidence")
@@ -29,10 +28,9 @@
 	return attempt{ran: ran, evidence: evidence}
 }
 
-// TestHistoryTellsTheTruth compares the run state with what truly happened over
-// all attempts, and lets a request that must run at most once be dispatched as
-// often as allowed.
-func TestHistoryTellsTheTruth(t *testing.T) {
+// TestHistoryIsTruthful compares the run state with what really happened over all attempts, and
+// dispatches a request that must be executed at most once as often as permitted.
+func TestHistoryIsTruthful(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		repeatable := rapid.Bool().Draw(t, "repeatable")
 		var history History
@@ -41,7 +39,7 @@
 			if !history.MayDispatch(repeatable) {
 				break
 			}
-			made := draw(t)
+			made := drawAttempt(t)
 			history.Record(made.evidence)
 			if made.ran {
 				runs++
@@ -57,7 +55,7 @@
 	})
 }
 
-// TestRefusalWithoutStateIsUnknown trusts a back end only for what it says.
+// TestRefusalWithoutStateIsUnknown checks that only a valid run state in a rejection is trusted.
 func TestRefusalWithoutStateIsUnknown(t *testing.T) {
 	assert.Equal(t, FromRefusal("").RunState(), identity.RunStateUnknown)
 	assert.Equal(t, FromRefusal("no_run").RunState(), identity.RunStateUnknown)
