--- a/internal/core/rendezvous/rendezvous.go
+++ b/internal/core/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous ranks members for a key by rendezvous (highest random
-// weight) hashing. All who know the same members agree on the ranking without
-// talking, and a member that comes or goes moves only its own keys.
+// Package rendezvous ranks members for a key by rendezvous (highest random weight) hashing.
+// Everyone who knows the same members computes the same ranking without coordination, and adding
+// or removing a member moves only the keys of that member.
 package rendezvous
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score is the weight of one member for a key. The highest score wins.
+// Score returns the hash weight of a member for a key. The highest score ranks first.
 func Score(key uint64, member string) uint64 {
 	var prefix [8]byte
 	binary.LittleEndian.PutUint64(prefix[:], key)
@@ -23,14 +23,14 @@
 	return digest.Sum64()
 }
 
-// Key turns a name into a key.
+// Key hashes a name to a key.
 func Key(name string) uint64 {
 	return xxhash.Sum64String(name)
 }
 
-// AmongTop tells whether a member is among the count others and itself with the highest
-// scores for the key. It mostly looks at few of the members, since it is enough to know
-// count of them that score higher.
+// AmongTop reports whether a member is among the count members with the highest scores for the
+// key; it need not be in members itself. It usually examines only a few members, since it stops at
+// the count-th higher score.
 func AmongTop[Member ~string](key uint64, member Member, members []Member, count int) bool {
 	own := Score(key, string(member))
 	higher := 0
@@ -49,8 +49,9 @@
 	return count > 0
 }
 
-// fewKept is up to how many of the first members are kept in one pass. Of more, sorting all takes less.
-const fewKept = 16
+// maxInsertionTop is the highest count for which the top members are selected by insertion in one
+// pass. Above it, sorting all members is faster.
+const maxInsertionTop = 16
 
 // Top returns the count members with the highest scores for the key, best first.
 func Top[Member ~string](key uint64, members []Member, count int) []Member {
@@ -59,21 +60,22 @@
 	})
 }
 
-// WeightedTop returns the count members that rank first for the key, best first, where each
-// member is first for a share of all keys that goes by its weight, above zero. With equal
-// weights it ranks as Top does. A member whose weight changes moves only its own keys.
+// WeightedTop returns the count highest-ranked members for the key, best first. Each member ranks
+// first for a share of the keys proportional to its weight, which must be positive. With equal
+// weights the ranking is that of Top. Changing a member's weight moves only the keys of that
+// member.
 func WeightedTop[Member ~string](key uint64, members []Member, weight func(Member) float64, count int) []Member {
 	return topBy(members, count, func(member Member) weighted[Member] { return weigh(key, member, weight(member)) })
 }
 
-// topBy returns the count members that go first by their places in a ranking.
-func topBy[Member ~string](members []Member, count int, placed func(Member) weighted[Member]) []Member {
+// topBy returns the first count members of a ranking.
+func topBy[Member ~string](members []Member, count int, scoreOf func(Member) weighted[Member]) []Member {
 	count = min(count, len(members))
 	var best []weighted[Member]
-	if count > fewKept {
-		best = sorted(members, placed)[:count]
+	if count > maxInsertionTop {
+		best = sortAll(members, scoreOf)[:count]
 	} else {
-		best = fewOf(members, count, placed)
+		best = topByInsertion(members, count, scoreOf)
 	}
 	first := make([]Member, count)
 	for index := range first {
@@ -82,20 +84,20 @@
 	return first
 }
 
-func sorted[Member ~string](members []Member, placed func(Member) weighted[Member]) []weighted[Member] {
+func sortAll[Member ~string](members []Member, scoreOf func(Member) weighted[Member]) []weighted[Member] {
 	all := make([]weighted[Member], len(members))
 	for index, member := range members {
-		all[index] = placed(member)
+		all[index] = scoreOf(member)
 	}
 	slices.SortFunc(all, weighted[Member].compare)
 	return all
 }
 
-// fewOf keeps the first count members alone.
-func fewOf[Member ~string](members []Member, count int, placed func(Member) weighted[Member]) []weighted[Member] {
+// topByInsertion returns the first count members, keeping only that many while it scans them.
+func topByInsertion[Member ~string](members []Member, count int, scoreOf func(Member) weighted[Member]) []weighted[Member] {
 	best := make([]weighted[Member], 0, count+1)
 	for _, member := range members {
-		next := placed(member)
+		next := scoreOf(member)
 		if count == 0 || (len(best) == count && best[count-1].compare(next) < 0) {
 			continue
 		}
@@ -106,7 +108,7 @@
 	return best
 }
 
-// AmongWeightedTop tells whether WeightedTop of members and this one has it among the first.
+// AmongWeightedTop reports whether WeightedTop of the members, including this one, contains it.
 func AmongWeightedTop[Member ~string](key uint64, member Member, members []Member, weight func(Member) float64, count int) bool {
 	own := weigh(key, member, weight(member))
 	higher := 0
@@ -124,7 +126,8 @@
 	return count > 0
 }
 
-// WeightedRank is how many of the members rank before one of them for the key, as WeightedTop ranks them.
+// WeightedRank returns the number of members that rank before the given one for the key, by the
+// ranking of WeightedTop.
 func WeightedRank[Member ~string](key uint64, member Member, members []Member, weight func(Member) float64) int {
 	own := weigh(key, member, weight(member))
 	rank := 0
@@ -136,22 +139,22 @@
 	return rank
 }
 
-// weighted is a member with its place in a ranking.
+// weighted is a member with its score.
 type weighted[Member ~string] struct {
 	member Member
 	score  uint64
-	// height is the score of weighted rendezvous hashing: the weight over the negative
-	// logarithm of the score as a number between 0 and 1.
-	height float64
+	// weightedScore is the score of weighted rendezvous hashing: the weight divided by the negative
+	// logarithm of the score, scaled to a number between 0 and 1.
+	weightedScore float64
 }
 
 func weigh[Member ~string](key uint64, member Member, weight float64) weighted[Member] {
 	score := Score(key, string(member))
 	fraction := (float64(score>>11) + 0.5) / (1 << 53) // neither 0 nor 1
-	return weighted[Member]{member: member, score: score, height: weight / -math.Log(fraction)}
+	return weighted[Member]{member: member, score: score, weightedScore: weight / -math.Log(fraction)}
 }
 
-// compare is negative when the member goes before another one.
+// compare returns a negative number if w ranks before other.
 func (w weighted[Member]) compare(other weighted[Member]) int {
-	return cmp.Or(cmp.Compare(other.height, w.height), cmp.Compare(other.score, w.score), cmp.Compare(w.member, other.member))
+	return cmp.Or(cmp.Compare(other.weightedScore, w.weightedScore), cmp.Compare(other.score, w.score), cmp.Compare(w.member, other.member))
 }
--- a/internal/core/rendezvous/rendezvous_test.go
+++ b/internal/core/rendezvous/rendezvous_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// A member that goes must move only the keys that it was first for.
-func TestLeavingMemberMovesOnlyItsOwnKeys(t *testing.T) {
+// TestRemovedMemberMovesOnlyItsOwnKeys checks that removing a member moves only the keys for which
+// it ranked first.
+func TestRemovedMemberMovesOnlyItsOwnKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.SliceOfNDistinct(rapid.StringN(1, 8, -1), 2, 12, rapid.ID[string]).Draw(t, "members")
 		gone := rapid.SampledFrom(members).Draw(t, "gone")
@@ -38,7 +39,7 @@
 	}
 }
 
-// TestAmongTopAgreesWithTop asks for single members what Top says of all.
+// TestAmongTopAgreesWithTop compares AmongTop for each member with the result of Top.
 func TestAmongTopAgreesWithTop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.SliceOfNDistinct(rapid.StringMatching("[a-z]{1,6}"), 1, 40, rapid.ID[string]).Draw(t, "members")
@@ -51,7 +52,7 @@
 	})
 }
 
-// TestWeightedTopOfEqualsIsTop ranks members of one weight as Top does.
+// TestWeightedTopOfEqualsIsTop checks that WeightedTop equals Top if all weights are equal.
 func TestWeightedTopOfEqualsIsTop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.SliceOfNDistinct(rapid.StringMatching("[a-z]{1,6}"), 0, 40, rapid.ID[string]).Draw(t, "members")
@@ -63,8 +64,9 @@
 	})
 }
 
-// TestWeightsShareKeys gives each member its part of the keys by its weight.
-func TestWeightsShareKeys(t *testing.T) {
+// TestKeysFollowWeights checks that each member gets a share of the keys proportional to its
+// weight.
+func TestKeysFollowWeights(t *testing.T) {
 	weights := map[string]float64{"a": 9, "b": 9, "c": 1, "d": 1}
 	counts := map[string]int{}
 	const keys = 20000
@@ -77,8 +79,8 @@
 	}
 }
 
-// TestChangedWeightMovesOnlyOwnKeys gives a member that has become weaker no key, and takes none
-// from one of the others for another one.
+// TestChangedWeightMovesOnlyOwnKeys checks that lowering a member's weight moves no key between
+// the other members, and none to it.
 func TestChangedWeightMovesOnlyOwnKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.SliceOfNDistinct(rapid.StringMatching("[a-z]{1,6}"), 2, 20, rapid.ID[string]).Draw(t, "members")
@@ -100,7 +102,8 @@
 	})
 }
 
-// TestAmongWeightedTopAgreesWithWeightedTop asks for single members what WeightedTop says of all.
+// TestAmongWeightedTopAgreesWithWeightedTop compares AmongWeightedTop for each member with the
+// result of WeightedTop.
 func TestAmongWeightedTopAgreesWithWeightedTop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.SliceOfNDistinct(rapid.StringMatching("[a-z]{1,6}"), 1, 40, rapid.ID[string]).Draw(t, "members")
@@ -114,8 +117,9 @@
 	})
 }
 
-// TestFirstMembersBeginTheWholeRanking compares the first members, however many, with the ranking of all.
-func TestFirstMembersBeginTheWholeRanking(t *testing.T) {
+// TestTopIsPrefixOfFullRanking checks that the top members, for any count, are a prefix of the
+// full ranking.
+func TestTopIsPrefixOfFullRanking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := rapid.Uint64().Draw(t, "key")
 		members := rapid.SliceOfNDistinct(rapid.StringMatching("[a-z]{1,3}"), 0, 60, rapid.ID).Draw(t, "members")
@@ -126,8 +130,9 @@
 	})
 }
 
-// TestRankIsThePlaceInTheRanking compares the rank of one member with its place in the ranking of all.
-func TestRankIsThePlaceInTheRanking(t *testing.T) {
+// TestWeightedRankIsPositionInRanking compares the rank of each member with its position in the
+// full ranking.
+func TestWeightedRankIsPositionInRanking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := rapid.Uint64().Draw(t, "key")
 		members := rapid.SliceOfNDistinct(rapid.StringMatching("[a-z]{1,3}"), 1, 60, rapid.ID).Draw(t, "members")
@@ -138,8 +143,8 @@
 	})
 }
 
-// BenchmarkRanking ranks 340 daemons for a key, for the first two by scores alone (21 microseconds; 73 where all are
-// sorted for it) and by capacity (42; 170), and for all by capacity (147).
+// BenchmarkRanking ranks 340 daemons for a key: the top two by score (21 us; 73 us if all are
+// sorted) and by capacity (42 us; 170 us if all are sorted), and all of them by capacity (147 us).
 func BenchmarkRanking(b *testing.B) {
 	var members []string
 	for number := range 340 {
