--- a/internal/core/distance/distance.go
+++ b/internal/core/distance/distance.go
@@ -1,5 +1,5 @@
-// Package distance says how far apart zones are: in the same zone, in the same region, or in
-// different regions. It is pure.
+// Package distance classifies the network distance between zones: the same zone, the same region,
+// or different regions. It performs no I/O.
 package distance
 
 import (
@@ -8,20 +8,20 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// Distance is how far apart two places are. Nearer ones compare as less.
+// Distance is the network distance between two zones. Nearer distances compare as less.
 type Distance int
 
-// The distances.
+// The distances, with their usual one-way latency.
 const (
-	// SameZone is tenths of a millisecond, one way.
+	// SameZone is tenths of a millisecond.
 	SameZone Distance = iota
-	// SameRegion is some milliseconds.
+	// SameRegion is a few milliseconds.
 	SameRegion
 	// OtherRegion is tens of milliseconds.
 	OtherRegion
 )
 
-// String names the distance for logs and metrics.
+// String returns the distance's name for logs and metrics.
 func (d Distance) String() string {
 	switch d {
 	case SameZone:
@@ -33,18 +33,18 @@
 	}
 }
 
-// Map knows the regions of zones. The zero value takes all zones for one region's.
+// Map maps zones to regions. The zero value places all zones in one region.
 type Map struct {
 	regions map[identity.Zone]identity.Region
 }
 
-// NewMap makes a Map of the regions of zones.
+// NewMap returns a Map of zones to regions.
 func NewMap(regions map[identity.Zone]identity.Region) Map { return Map{regions: maps.Clone(regions)} }
 
-// Region is a zone's region; empty where it is not known.
+// Region returns a zone's region, or empty if unknown.
 func (m Map) Region(zone identity.Zone) identity.Region { return m.regions[zone] }
 
-// Between is the distance of two zones. A zone of no known region counts as of the same
+// Between returns the distance between two zones. A zone of unknown region counts as in the same
 // region as any other.
 func (m Map) Between(left, right identity.Zone) Distance {
 	leftRegion, rightRegion := m.regions[left], m.regions[right]
@@ -58,7 +58,8 @@
 	}
 }
 
-// HasSeveralRegions tells whether there is more than one region. Zones without a region make none.
+// HasSeveralRegions reports whether there is more than one region. Zones without a region don't
+// count.
 func (m Map) HasSeveralRegions() bool {
 	var first identity.Region
 	for _, region := range m.regions {
--- a/internal/core/distance/distance_test.go
+++ b/internal/core/distance/distance_test.go
@@ -9,8 +9,9 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// TestBetweenIsADistance draws maps of 1, 2 and 6 regions: a zone is nearest to itself, the way
-// there is the way back, and only known different regions are far apart.
+// TestBetweenIsADistance draws maps of 1, 2 and 6 regions and checks that a zone is nearest to
+// itself, that distances are symmetric, and that only zones in different known regions are
+// OtherRegion.
 func TestBetweenIsADistance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "regions")
@@ -40,10 +41,10 @@
 	})
 }
 
-// TestZoneWithoutRegionMakesNoSeveral names a zone without a region beside others of one region: all
-// are of one region, in whatever order they are looked at.
-func TestZoneWithoutRegionMakesNoSeveral(t *testing.T) {
-	for range 100 { // the order differs from look to look
+// TestZoneWithoutRegionIsNotARegion has a zone without a region beside zones of one region. The
+// result must not depend on the map's iteration order.
+func TestZoneWithoutRegionIsNotARegion(t *testing.T) {
+	for range 100 { // the iteration order is random
 		assert.Assert(t, !NewMap(map[identity.Zone]identity.Region{"a": "r", "b": ""}).HasSeveralRegions())
 		assert.Assert(t, NewMap(map[identity.Zone]identity.Region{"a": "r", "b": "", "c": "s"}).HasSeveralRegions())
 	}
