--- a/internal/core/identity/backend.go
+++ b/internal/core/identity/backend.go
@@ -5,53 +5,53 @@
 	"strings"
 )
 
-// BackendName is the id that a back end (a model engine or a web-app runner) has at the platform. It keeps
-// it when it starts again.
+// BackendName is the platform's ID of a backend (a model engine or a web-app runner). It stays the
+// same across restarts.
 type BackendName string
 
-// BackendID names one life of a back end, from its start to its end: its name, and its incarnation where
-// that is known. Whatever is believed of a back end is kept by this ID, so that nothing is believed of the
-// next life that was learnt of the one before. It is to be made by NewBackendID.
+// BackendID identifies one incarnation of a backend, from its start to its end, by its name and,
+// if known, its incarnation. All state about a backend is kept by this ID, so that nothing learnt
+// about one incarnation is attributed to the next. Create it with NewBackendID.
 type BackendID string
 
-// incarnationMark lies between the name and the incarnation.
-const incarnationMark = "@"
+// incarnationSeparator separates the name from the incarnation.
+const incarnationSeparator = "@"
 
-// NewBackendID names a life. The incarnation is zero where it isn't known; such a life is another one than
-// those with an incarnation.
+// NewBackendID returns the ID of an incarnation. The incarnation is zero if unknown; the resulting
+// ID differs from those with an incarnation.
 func NewBackendID(name BackendName, incarnation Incarnation) BackendID {
-	if incarnation == 0 && !strings.Contains(string(name), incarnationMark) {
+	if incarnation == 0 && !strings.Contains(string(name), incarnationSeparator) {
 		return BackendID(name)
 	}
-	return BackendID(string(name) + incarnationMark + strconv.FormatUint(uint64(incarnation), 10))
+	return BackendID(string(name) + incarnationSeparator + strconv.FormatUint(uint64(incarnation), 10))
 }
 
-// Name is the back end's name, which the platform knows it by.
+// Name returns the backend's name, by which the platform knows it.
 func (id BackendID) Name() BackendName {
-	name, _ := id.parts()
+	name, _ := id.split()
 	return name
 }
 
-// Incarnation is that of the life; zero where it isn't known.
+// Incarnation returns the incarnation; zero if unknown.
 func (id BackendID) Incarnation() Incarnation {
-	_, incarnation := id.parts()
+	_, incarnation := id.split()
 	return incarnation
 }
 
-func (id BackendID) parts() (BackendName, Incarnation) {
-	mark := strings.LastIndex(string(id), incarnationMark)
-	if mark < 0 {
+func (id BackendID) split() (BackendName, Incarnation) {
+	at := strings.LastIndex(string(id), incarnationSeparator)
+	if at < 0 {
 		return BackendName(id), 0
 	}
-	incarnation, err := strconv.ParseUint(string(id[mark+len(incarnationMark):]), 10, 64)
+	incarnation, err := strconv.ParseUint(string(id[at+len(incarnationSeparator):]), 10, 64)
 	if err != nil {
 		return BackendName(id), 0
 	}
-	return BackendName(id[:mark]), Incarnation(incarnation)
+	return BackendName(id[:at]), Incarnation(incarnation)
 }
 
-// MatchesIncarnation tells whether this may be the life of which the back end itself tells its incarnation: zero,
-// where it tells none, says nothing.
+// MatchesIncarnation reports whether this may be the backend that reports the given incarnation of
+// itself. An unknown incarnation, zero, matches any.
 func (id BackendID) MatchesIncarnation(incarnation Incarnation) bool {
 	known := id.Incarnation()
 	return known == 0 || incarnation == 0 || known == incarnation
--- a/internal/core/identity/backend_test.go
+++ b/internal/core/identity/backend_test.go
@@ -7,23 +7,23 @@
 	"pgregory.net/rapid"
 )
 
-// TestBackendIDsTellLivesApart draws names and incarnations: an ID gives both back, and two are the same
-// only if both are.
-func TestBackendIDsTellLivesApart(t *testing.T) {
+// TestBackendIDsDistinguishIncarnations draws names and incarnations and checks that an ID yields
+// both, and that two IDs are equal only if both are.
+func TestBackendIDsDistinguishIncarnations(t *testing.T) {
 	name := rapid.StringMatching(`[a-c@0-2]{0,6}`)
 	incarnation := rapid.Uint64Range(0, 20)
 	rapid.Check(t, func(t *rapid.T) {
 		leftName, rightName := BackendName(name.Draw(t, "left")), BackendName(name.Draw(t, "right"))
-		leftLife, rightLife := Incarnation(incarnation.Draw(t, "left life")), Incarnation(incarnation.Draw(t, "right life"))
-		left, right := NewBackendID(leftName, leftLife), NewBackendID(rightName, rightLife)
+		leftIncarnation, rightIncarnation := Incarnation(incarnation.Draw(t, "left life")), Incarnation(incarnation.Draw(t, "right life"))
+		left, right := NewBackendID(leftName, leftIncarnation), NewBackendID(rightName, rightIncarnation)
 		assert.Equal(t, left.Name(), leftName)
-		assert.Equal(t, left.Incarnation(), leftLife)
-		assert.Equal(t, left == right, leftName == rightName && leftLife == rightLife)
+		assert.Equal(t, left.Incarnation(), leftIncarnation)
+		assert.Equal(t, left == right, leftName == rightName && leftIncarnation == rightIncarnation)
 	})
 }
 
-// TestUnknownIncarnationsContradictNothing compares a life with what the back end tells of itself.
-func TestUnknownIncarnationsContradictNothing(t *testing.T) {
+// TestUnknownIncarnationMatchesAny compares IDs with the incarnation that the backend reports.
+func TestUnknownIncarnationMatchesAny(t *testing.T) {
 	known, unknown := NewBackendID("b", 7), NewBackendID("b", 0)
 	assert.Equal(t, unknown, BackendID("b"))
 	assert.Assert(t, known.MatchesIncarnation(7))
@@ -32,7 +32,7 @@
 	assert.Assert(t, unknown.MatchesIncarnation(8))
 }
 
-// BenchmarkName takes the name out of a life's ID, as each look into the list of back ends does: 57 ns.
+// BenchmarkName extracts the name from an ID, as each lookup in the list of backends does: 57 ns.
 func BenchmarkName(b *testing.B) {
 	id := NewBackendID("i-7f3a91c2", 1796262243000)
 	for b.Loop() {
