--- a/internal/core/buffers/buffers.go
+++ b/internal/core/buffers/buffers.go
@@ -1,9 +1,10 @@
-// Package buffers accounts for the memory that a daemon holds for others: bodies on their way in, answers that wait
-// to be read, and connections. It bounds them together, and decides whom to end where they are too much. It does no I/O
-// and reads no clock; each call carries the time.
+// Package buffers accounts for the memory that a daemon buffers on behalf of its peers: incoming
+// bodies, responses waiting to be read, and connections. It enforces bounds on them and decides
+// which exchanges to terminate if they are exceeded. It performs no I/O and reads no clock;
+// callers pass the current time.
 //
-// A caller that reads slowly, or a back end that does, makes the daemon hold what it has for it. Without a bound a few
-// hundred of them take all of a machine's memory, and all others are lost with the process.
+// A slow client or backend makes the daemon buffer the data in transit. Without a bound, a few
+// hundred of them exhaust the machine's memory, and all other requests are lost with the process.
 package buffers
 
 import (
@@ -17,29 +18,32 @@
 )
 
 const (
-	// leastStall is how long a peer must have kept the daemon waiting to be ended for room. A loss on a sound link
-	// is made up for within it.
-	leastStall = 2 * time.Second
-	// healthyRate is how many bytes a second a peer moves that is never ended for room: a tenth of the slowest usual
-	// mobile link.
-	healthyRate = 16 << 10
-	// smallBytes is the most that an exchange may hold to use all of a bound. Larger ones together get largeShare of it:
-	// those that have only begun to be slow would otherwise crowd out all small requests.
-	smallBytes = 64 << 10
-	largeShare = 0.75
-	// stallNotice is how long a peer must have kept the daemon waiting for others to be read ahead of it.
-	stallNotice = 250 * time.Millisecond
-	// expiredStall is how long a slow peer must have kept the daemon waiting to be ended once its time is over.
-	expiredStall = 5 * time.Second
+	// minStall is how long a peer must have been stalled to be evicted. A healthy link recovers from a
+	// packet loss within it.
+	minStall = 2 * time.Second
+	// minHealthyRate is the transfer rate in bytes per second from which a peer is never evicted: a
+	// tenth of the slowest usual mobile link.
+	minHealthyRate = 16 << 10
+	// smallExchangeBytes is the most that an exchange may hold to use all of a bound. Larger ones
+	// together get largeExchangeShare of it. Without this, large exchanges that have only just become
+	// slow would crowd out all small requests.
+	smallExchangeBytes = 64 << 10
+	largeExchangeShare = 0.75
+	// stallNotifyAfter is how long a peer must have been stalled before OnStall is called, so that
+	// other peers are read ahead of it.
+	stallNotifyAfter = 250 * time.Millisecond
+	// maxExpiredStall is how long a slow peer may be stalled after its deadline before it is evicted.
+	maxExpiredStall = 5 * time.Second
 )
 
-// Limits bound what is held, in bytes. Zero is no bound.
+// Limits bound the buffered bytes. Zero is no bound.
 type Limits struct {
-	// Total is of all exchanges and connections together, PerTenant of those of one tenant, and PerExchange of one.
+	// Total applies to all exchanges and connections together, PerTenant to those of one tenant, and
+	// PerExchange to each one.
 	Total, PerTenant, PerExchange int64
 }
 
-// Scope says which bound was reached.
+// Scope identifies the bound that was reached.
 type Scope string
 
 // The scopes.
@@ -47,12 +51,12 @@
 	ScopeTotal    Scope = "daemon"
 	ScopeTenant   Scope = "tenant"
 	ScopeExchange Scope = "exchange"
-	// ScopeExpired is of an exchange whose time is over and whose peer takes nothing: there is no bound, but nobody
-	// waits for it either.
+	// ScopeExpired is used for an exchange past its deadline whose peer is stalled. No bound was
+	// reached, but nobody waits for the exchange any more.
 	ScopeExpired Scope = "expired"
 )
 
-// FullError says that no more may be held, and that nobody could be ended for it.
+// FullError reports that a bound was reached and that no exchange could be evicted to make space.
 type FullError struct {
 	Scope Scope
 	// Held and Limit are in bytes.
@@ -64,37 +68,39 @@
 	return fmt.Sprintf("%d bytes are held, of %d for a %s", e.Held, e.Limit, e.Scope)
 }
 
-// Eviction says that an exchange was ended: to make room, or since its time is over.
+// Eviction describes an exchange that was terminated to free memory or because its deadline has
+// passed.
 type Eviction struct {
 	Scope  Scope
 	Tenant identity.TenantName
-	// Held is what was held for it, in bytes; Waited is for how long its peer had kept the daemon waiting, and Moved how
-	// many bytes the peer had taken or given meanwhile.
+	// Held is the number of bytes that were buffered for it. Waited is how long its peer had been
+	// stalled, and Moved how many bytes the peer transferred in that time.
 	Held, Moved int64
 	Waited      time.Duration
 }
 
-// Usage sums up what is held.
+// Usage summarizes what is buffered.
 type Usage struct {
-	// Held is in bytes, and Limit the bound on it.
+	// Held is in bytes, and Limit is the bound on it.
 	Held, Limit int64
-	// Exchanges are all that are open, and Waiting those whose peers keep the daemon waiting.
+	// Exchanges is the number of open exchanges, and Waiting the number of those whose peer the daemon
+	// is waiting for.
 	Exchanges, Waiting int
-	// Tenants is what is held for each tenant, the most first.
+	// Tenants lists the usage of each tenant, the largest first.
 	Tenants []TenantUsage
 }
 
-// TenantUsage is what is held for one tenant, in bytes.
+// TenantUsage is the number of bytes buffered for one tenant.
 type TenantUsage struct {
 	Tenant identity.TenantName
 	Held   int64
 }
 
-// Tracker accounts for what is held. It is safe for use by several goroutines.
+// Tracker accounts for the buffered bytes. It is safe for concurrent use.
 type Tracker struct {
 	limits Limits
-	// ended is told, without the mutex, of each exchange that was ended to make room.
-	ended func(Eviction)
+	// onEvict is called, without the mutex, for each evicted exchange.
+	onEvict func(Eviction)
 
 	mutex    sync.Mutex
 	held     int64
@@ -102,45 +108,47 @@
 	open     map[*Exchange]bool
 }
 
-// NewTracker makes an empty ledger. Ended is told of each exchange that is ended to make room; nil is not. It must not
-// block.
-func NewTracker(limits Limits, ended func(Eviction)) *Tracker {
-	if ended == nil {
-		ended = func(Eviction) {}
+// NewTracker returns an empty tracker. onEvict is called for each evicted exchange unless it is
+// nil. It must not block.
+func NewTracker(limits Limits, onEvict func(Eviction)) *Tracker {
+	if onEvict == nil {
+		onEvict = func(Eviction) {}
 	}
-	return &Tracker{limits: limits, ended: ended, byTenant: map[identity.TenantName]int64{}, open: map[*Exchange]bool{}}
+	return &Tracker{limits: limits, onEvict: onEvict, byTenant: map[identity.TenantName]int64{}, open: map[*Exchange]bool{}}
 }
 
-// Open begins to account for an exchange. End breaks it off; it is called at most once and must not block.
-func (l *Tracker) Open(end func()) *Exchange {
-	made := &Exchange{ledger: l, end: end}
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.open[made] = true
+// Open starts accounting for an exchange. abort terminates the exchange; it is called at most once
+// and must not block.
+func (t *Tracker) Open(abort func()) *Exchange {
+	made := &Exchange{tracker: t, abort: abort}
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.open[made] = true
 	return made
 }
 
-// add changes what is held for a tenant. The caller holds the mutex.
-func (l *Tracker) add(tenant identity.TenantName, bytes int64) {
-	l.byTenant[tenant] += bytes
-	if l.byTenant[tenant] == 0 {
-		delete(l.byTenant, tenant)
+// add changes the usage of a tenant. The caller must hold the mutex.
+func (t *Tracker) add(tenant identity.TenantName, bytes int64) {
+	t.byTenant[tenant] += bytes
+	if t.byTenant[tenant] == 0 {
+		delete(t.byTenant, tenant)
 	}
 }
 
-// victim is an exchange that is ended to make room.
+// victim is an evicted exchange that is still to be aborted.
 type victim struct {
 	Eviction
 	exchange *Exchange
 }
 
-// makeRoom ends exchanges until no more than a number of bytes is held, the slowest first. The caller holds the mutex.
-func (l *Tracker) makeRoom(now time.Time, scope Scope, most int64, held func() int64, among func(*Exchange) bool) []victim {
+// evictSlowest evicts slow exchanges, the slowest first, until at most the given number of bytes
+// is held. The caller must hold the mutex.
+func (t *Tracker) evictSlowest(now time.Time, scope Scope, most int64, held func() int64, among func(*Exchange) bool) []victim {
 	if held() <= most {
 		return nil
 	}
 	var slow []slowExchange
-	for other := range l.open {
+	for other := range t.open {
 		pace := other.progress.pace(now)
 		if among(other) && other.held > 0 && pace.slow() {
 			slow = append(slow, slowExchange{other, pace})
@@ -149,90 +157,91 @@
 	slices.SortFunc(slow, func(left, right slowExchange) int {
 		return cmp.Or(cmp.Compare(left.rate(), right.rate()), cmp.Compare(right.waited, left.waited))
 	})
-	var ended []victim
+	var victims []victim
 	for _, other := range slow {
 		if held() <= most {
 			break
 		}
-		ended = append(ended, l.evict(other.Exchange, scope, other.pace))
+		victims = append(victims, t.evict(other.Exchange, scope, other.pace))
 	}
-	return ended
+	return victims
 }
 
-// evict ends an exchange here. The caller holds the mutex, and breaks the exchange off afterwards.
-func (l *Tracker) evict(exchange *Exchange, scope Scope, pace pace) victim {
+// evict stops accounting for an exchange. The caller must hold the mutex, and abort the exchange
+// after releasing it.
+func (t *Tracker) evict(exchange *Exchange, scope Scope, pace pace) victim {
 	evicted := victim{exchange: exchange, Eviction: Eviction{
 		Scope: scope, Tenant: exchange.tenant, Held: exchange.held, Moved: pace.moved, Waited: pace.waited,
 	}}
 	exchange.evicted = true
-	l.close(exchange)
+	t.close(exchange)
 	return evicted
 }
 
-// slowExchange is an exchange that may be ended for room.
+// slowExchange is a candidate for eviction.
 type slowExchange struct {
 	*Exchange
 	pace
 }
 
-// Check tells of exchanges whose peers keep the daemon waiting, and ends those whose time is over. It is to be called a
-// few times a second.
-func (l *Tracker) Check(now time.Time) {
-	ended, stalls := l.check(now)
-	l.breakOff(ended)
-	for _, tell := range stalls {
-		tell()
+// Check reports stalled exchanges through their OnStall callbacks, and evicts stalled ones past
+// their deadline. It should be called several times a second.
+func (t *Tracker) Check(now time.Time) {
+	victims, stalls := t.check(now)
+	t.abort(victims)
+	for _, report := range stalls {
+		report()
 	}
 }
 
-func (l *Tracker) check(now time.Time) (ended []victim, stalls []func()) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	for exchange := range l.open {
+func (t *Tracker) check(now time.Time) (victims []victim, stalls []func()) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	for exchange := range t.open {
 		pace := exchange.progress.pace(now)
 		switch {
 		case pace.waited == 0:
-		case pace.expired && pace.waited >= expiredStall && pace.slow():
-			ended = append(ended, l.evict(exchange, ScopeExpired, pace))
+		case pace.expired && pace.waited >= maxExpiredStall && pace.slow():
+			victims = append(victims, t.evict(exchange, ScopeExpired, pace))
 		default:
-			if tell := exchange.progress.stall(now); tell != nil {
-				stalls = append(stalls, tell)
+			if report := exchange.progress.stall(now); report != nil {
+				stalls = append(stalls, report)
 			}
 		}
 	}
-	return ended, stalls
+	return victims, stalls
 }
 
-// breakOff breaks off what was ended, and tells of it. It is for callers without the mutex.
-func (l *Tracker) breakOff(ended []victim) {
-	for _, each := range ended {
-		each.exchange.end()
-		l.ended(each.Eviction)
+// abort terminates evicted exchanges and reports them. The caller must not hold the mutex.
+func (t *Tracker) abort(victims []victim) {
+	for _, each := range victims {
+		each.exchange.abort()
+		t.onEvict(each.Eviction)
 	}
 }
 
-// close is for callers that hold the mutex.
-func (l *Tracker) close(exchange *Exchange) {
+// close stops accounting for an exchange. The caller must hold the mutex.
+func (t *Tracker) close(exchange *Exchange) {
 	if exchange.closed {
 		return
 	}
 	exchange.closed = true
-	l.held -= exchange.held
-	l.add(exchange.tenant, -exchange.held)
-	delete(l.open, exchange)
-}
-
-// Usage returns what is held now.
-func (l *Tracker) Usage() Usage {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	usage := Usage{Held: l.held, Limit: l.limits.Total, Exchanges: len(l.open)}
-	for exchange := range l.open {
-		if exchange.progress.waits() {
+	t.held -= exchange.held
+	t.add(exchange.tenant, -exchange.held)
+	delete(t.open, exchange)
+}
+
+// Usage returns the current usage.
+func (t *Tracker) Usage() Usage {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	usage := Usage{Held: t.held, Limit: t.limits.Total, Exchanges: len(t.open)}
+	for exchange := range t.open {
+		if exchange.progress.isWaiting() {
 			usage.Waiting++
 		}
 	}
-	for tenant, held := range l.byTenant {
+	for tenant, held := range t.byTenant {
 		if tenant != "" {
 			usage.Tenants = append(usage.Tenants, TenantUsage{Tenant: tenant, Held: held})
 		}
--- a/internal/core/buffers/buffers_test.go
+++ b/internal/core/buffers/buffers_test.go
@@ -16,28 +16,28 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// world is a ledger with what was ended.
-type world struct {
-	ledger *buffers.Tracker
-	ended  []buffers.Eviction
-	broken map[string]bool
+// harness is a tracker with a record of its evictions.
+type harness struct {
+	tracker   *buffers.Tracker
+	evictions []buffers.Eviction
+	aborted   map[string]bool
 }
 
-func newWorld(limits buffers.Limits) *world {
-	made := &world{broken: map[string]bool{}}
-	made.ledger = buffers.NewTracker(limits, func(ended buffers.Eviction) { made.ended = append(made.ended, ended) })
+func newHarness(limits buffers.Limits) *harness {
+	made := &harness{aborted: map[string]bool{}}
+	made.tracker = buffers.NewTracker(limits, func(eviction buffers.Eviction) { made.evictions = append(made.evictions, eviction) })
 	return made
 }
 
-func (w *world) open(name string, tenant identity.TenantName) *buffers.Exchange {
-	exchange := w.ledger.Open(func() { w.broken[name] = true })
+func (h *harness) open(name string, tenant identity.TenantName) *buffers.Exchange {
+	exchange := h.tracker.Open(func() { h.aborted[name] = true })
 	exchange.SetTenant(tenant)
 	return exchange
 }
 
 func TestSlowestIsEndedFirst(t *testing.T) {
-	w := newWorld(buffers.Limits{Total: 100 * kilobyte})
-	silent, trickling, healthy := w.open("silent", "a"), w.open("trickling", "a"), w.open("healthy", "b")
+	h := newHarness(buffers.Limits{Total: 100 * kilobyte})
+	silent, trickling, healthy := h.open("silent", "a"), h.open("trickling", "a"), h.open("healthy", "b")
 	for _, exchange := range []*buffers.Exchange{silent, trickling, healthy} {
 		assert.NilError(t, exchange.Reserve(start, 30*kilobyte))
 		exchange.StartWaiting(start)
@@ -46,76 +46,77 @@
 	trickling.RecordProgress(kilobyte)
 	healthy.RecordProgress(400 * kilobyte)
 
-	late := w.open("late", "c")
+	late := h.open("late", "c")
 	assert.NilError(t, late.Reserve(now, 30*kilobyte))
-	assert.DeepEqual(t, w.broken, map[string]bool{"silent": true})
+	assert.DeepEqual(t, h.aborted, map[string]bool{"silent": true})
 	assert.Assert(t, silent.Evicted())
 	assert.NilError(t, late.Reserve(now, 30*kilobyte))
-	assert.DeepEqual(t, w.broken, map[string]bool{"silent": true, "trickling": true})
+	assert.DeepEqual(t, h.aborted, map[string]bool{"silent": true, "trickling": true})
 
 	var full *buffers.FullError
 	err := late.Reserve(now, 30*kilobyte)
 	assert.Assert(t, errors.As(err, &full) && full.Scope == buffers.ScopeTotal, "%v", err)
-	assert.Assert(t, !w.broken["healthy"])
+	assert.Assert(t, !h.aborted["healthy"])
 }
 
-// TestLargeBodiesLeaveRoomForSmallRequests has uploads hold all they may before any of them is known to be slow.
+// TestLargeBodiesLeaveRoomForSmallRequests has uploads buffer all they may before any of them is
+// known to be slow.
 func TestLargeBodiesLeaveRoomForSmallRequests(t *testing.T) {
-	w := newWorld(buffers.Limits{Total: 1000 * kilobyte})
+	h := newHarness(buffers.Limits{Total: 1000 * kilobyte})
 	var err error
 	for count := 0; err == nil; count++ {
-		upload := w.open("upload", "a")
+		upload := h.open("upload", "a")
 		upload.StartWaiting(start)
 		err = upload.Reserve(start, 100*kilobyte)
 		assert.Assert(t, count < 10)
 	}
 	for range 50 {
-		assert.NilError(t, w.open("small", "a").Reserve(start, 4*kilobyte))
+		assert.NilError(t, h.open("small", "a").Reserve(start, 4*kilobyte))
 	}
 }
 
 func TestTenantsSlowCallersCostNoOtherTenant(t *testing.T) {
-	w := newWorld(buffers.Limits{Total: 100 * kilobyte, PerTenant: 40 * kilobyte})
-	other := w.open("other", "b")
+	h := newHarness(buffers.Limits{Total: 100 * kilobyte, PerTenant: 40 * kilobyte})
+	other := h.open("other", "b")
 	assert.NilError(t, other.Reserve(start, 20*kilobyte))
 	other.StartWaiting(start)
 	now := start.Add(time.Minute)
-	first := w.open("first", "a")
+	first := h.open("first", "a")
 	assert.NilError(t, first.Reserve(now, 40*kilobyte))
 
-	second := w.open("second", "a")
+	second := h.open("second", "a")
 	var full *buffers.FullError
 	err := second.Reserve(now, kilobyte)
 	assert.Assert(t, errors.As(err, &full) && full.Scope == buffers.ScopeTenant, "%v", err)
-	assert.Equal(t, len(w.broken), 0)
+	assert.Equal(t, len(h.aborted), 0)
 
 	first.StartWaiting(now)
 	assert.NilError(t, second.Reserve(now.Add(3*time.Second), kilobyte))
-	assert.DeepEqual(t, w.broken, map[string]bool{"first": true})
-	assert.Equal(t, w.ended[0].Scope, buffers.ScopeTenant)
+	assert.DeepEqual(t, h.aborted, map[string]bool{"first": true})
+	assert.Equal(t, h.evictions[0].Scope, buffers.ScopeTenant)
 }
 
 func TestExpiredStalledExchangeIsEnded(t *testing.T) {
-	w := newWorld(buffers.Limits{})
-	exchange := w.open("gone", "a")
+	h := newHarness(buffers.Limits{})
+	exchange := h.open("gone", "a")
 	exchange.SetDeadline(start.Add(10 * time.Second))
 	exchange.StartWaiting(start)
 	stalls := 0
 	exchange.OnStall(func() { stalls++ })
 	for second := range 10 {
-		w.ledger.Check(start.Add(time.Duration(second) * time.Second))
+		h.tracker.Check(start.Add(time.Duration(second) * time.Second))
 	}
 	assert.Equal(t, stalls, 1)
-	assert.Equal(t, len(w.ended), 0)
+	assert.Equal(t, len(h.evictions), 0)
 	exchange.RecordProgress(1 << 20) // enough for a while
-	w.ledger.Check(start.Add(12 * time.Second))
-	assert.Equal(t, len(w.ended), 0)
-	w.ledger.Check(start.Add(2 * time.Minute))
-	assert.Equal(t, len(w.ended), 1)
-	assert.Equal(t, w.ended[0].Scope, buffers.ScopeExpired)
+	h.tracker.Check(start.Add(12 * time.Second))
+	assert.Equal(t, len(h.evictions), 0)
+	h.tracker.Check(start.Add(2 * time.Minute))
+	assert.Equal(t, len(h.evictions), 1)
+	assert.Equal(t, h.evictions[0].Scope, buffers.ScopeExpired)
 }
 
-// account is an exchange as the oracle knows it.
+// account is the reference model of an exchange.
 type account struct {
 	exchange *buffers.Exchange
 	name     string
@@ -125,22 +126,23 @@
 	moved    int64
 }
 
-// slow tells whether the oracle lets it be ended.
+// slow reports whether the reference model permits evicting the exchange.
 func (a *account) slow(now time.Time) bool {
 	waited := now.Sub(a.waiting)
 	return !a.waiting.IsZero() && waited >= 2*time.Second && float64(a.moved)/waited.Seconds() < 16*kilobyte
 }
 
-// TestLedgerNeverHoldsMoreThanItsBounds draws exchanges that hold, release, wait and move. What the ledger says is held
-// is what the oracle adds up, no bound is ever passed, nobody is ended who moved, and nothing is refused while slow
-// ones are left to be ended.
-func TestLedgerNeverHoldsMoreThanItsBounds(t *testing.T) {
+// TestTrackerStaysWithinItsBounds draws exchanges that reserve, release, stall and transfer bytes.
+// The reported usage must equal the sum in the reference model, no bound may be exceeded, no
+// exchange that makes progress may be evicted, and nothing may be rejected while a slow exchange
+// could be evicted.
+func TestTrackerStaysWithinItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := buffers.Limits{
 			Total:     rapid.Int64Range(50, 400).Draw(t, "total") * kilobyte,
 			PerTenant: rapid.Int64Range(20, 400).Draw(t, "tenant") * kilobyte, PerExchange: rapid.Int64Range(10, 100).Draw(t, "exchange") * kilobyte,
 		}
-		w, now := newWorld(limits), start
+		h, now := newHarness(limits), start
 		var accounts []*account
 		live := func() (all []*account) {
 			for _, each := range accounts {
@@ -159,7 +161,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"open": func(t *rapid.T) {
 				made := &account{name: rapid.StringN(6, 6, -1).Draw(t, "name"), tenant: rapid.SampledFrom([]identity.TenantName{"a", "b", "c"}).Draw(t, "tenant")}
-				made.exchange = w.open(made.name, made.tenant)
+				made.exchange = h.open(made.name, made.tenant)
 				accounts = append(accounts, made)
 			},
 			"hold": func(t *rapid.T) {
@@ -172,7 +174,7 @@
 				err := asked.exchange.Reserve(now, bytes)
 				for _, each := range before {
 					if each.exchange.Evicted() && (each == asked || !each.slow(now)) {
-						t.Fatalf("%s was ended and isn't slow", each.name)
+						t.Fatalf("%s was evicted but isn't slow", each.name)
 					}
 				}
 				if err == nil {
@@ -184,7 +186,7 @@
 				for _, each := range live() {
 					inScope := full.Scope == buffers.ScopeTotal || (full.Scope == buffers.ScopeTenant && each.tenant == asked.tenant)
 					if each != asked && inScope && each.held > 0 && each.slow(now) {
-						t.Fatalf("refused (%v) though %s could be ended", err, each.name)
+						t.Fatalf("rejected (%v) although %s could be evicted", err, each.name)
 					}
 				}
 			},
@@ -227,7 +229,7 @@
 					tenants[each.tenant] += each.held
 					assert.Assert(t, each.held <= limits.PerExchange)
 				}
-				usage := w.ledger.Usage()
+				usage := h.tracker.Usage()
 				assert.Equal(t, usage.Held, total)
 				assert.Assert(t, total <= limits.Total)
 				for _, each := range usage.Tenants {
--- a/internal/core/buffers/exchange.go
+++ b/internal/core/buffers/exchange.go
@@ -6,105 +6,105 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// Exchange is one request with its answer, or one connection. A nil Exchange accounts for nothing.
+// Exchange is a request with its response, or a connection. Methods of a nil Exchange do nothing.
 type Exchange struct {
-	ledger *Tracker
-	// end breaks it off.
-	end func()
-	// progress is how the peer goes on. It has a mutex of its own, taken after the ledger's: each piece of an answer
-	// notes it.
+	tracker *Tracker
+	// abort terminates the exchange.
+	abort func()
+	// progress tracks the peer's transfer rate. It has its own mutex, acquired after the tracker's,
+	// because every chunk of a response updates it.
 	progress progress
 
-	// What follows is under the ledger's mutex.
+	// The fields below are protected by the tracker's mutex.
 	tenant identity.TenantName
 	held   int64
 	closed bool
-	// evicted is set once it was ended here.
+	// evicted is set once the tracker has evicted the exchange.
 	evicted bool
 }
 
-// SetTenant tells whose exchange it is.
+// SetTenant sets the tenant to which the exchange belongs.
 func (e *Exchange) SetTenant(tenant identity.TenantName) {
 	if e == nil {
 		return
 	}
-	e.ledger.mutex.Lock()
-	defer e.ledger.mutex.Unlock()
+	e.tracker.mutex.Lock()
+	defer e.tracker.mutex.Unlock()
 	if e.closed || e.tenant == tenant {
 		return
 	}
-	e.ledger.add(e.tenant, -e.held)
+	e.tracker.add(e.tenant, -e.held)
 	e.tenant = tenant
-	e.ledger.add(tenant, e.held)
+	e.tracker.add(tenant, e.held)
 }
 
-// Reserve accounts for more bytes. Where that is beyond a bound, others are ended that have kept the daemon waiting for
-// longest. It fails with *FullError where that isn't enough; nothing more is accounted for then.
+// Reserve accounts for more buffered bytes. If that exceeds a bound, the slowest exchanges are
+// evicted. If that doesn't free enough, it fails with a *FullError and reserves nothing.
 func (e *Exchange) Reserve(now time.Time, bytes int64) error {
 	if e == nil {
 		return nil
 	}
-	ended, err := e.hold(now, bytes)
-	e.ledger.breakOff(ended)
+	victims, err := e.reserve(now, bytes)
+	e.tracker.abort(victims)
 	return err
 }
 
-func (e *Exchange) hold(now time.Time, bytes int64) ([]victim, error) {
-	ledger := e.ledger
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
+func (e *Exchange) reserve(now time.Time, bytes int64) ([]victim, error) {
+	tracker := e.tracker
+	tracker.mutex.Lock()
+	defer tracker.mutex.Unlock()
 	if e.closed {
 		return nil, &FullError{Scope: ScopeExchange, Held: e.held}
 	}
-	if limit := ledger.limits.PerExchange; limit > 0 && e.held+bytes > limit {
+	if limit := tracker.limits.PerExchange; limit > 0 && e.held+bytes > limit {
 		return nil, &FullError{Scope: ScopeExchange, Held: e.held, Limit: limit}
 	}
-	var ended []victim
-	if limit := e.part(ledger.limits.PerTenant, bytes); limit > 0 && e.tenant != "" {
-		held := func() int64 { return ledger.byTenant[e.tenant] }
-		ended = ledger.makeRoom(now, ScopeTenant, limit-bytes, held, func(other *Exchange) bool { return other != e && other.tenant == e.tenant })
+	var victims []victim
+	if limit := e.usableLimit(tracker.limits.PerTenant, bytes); limit > 0 && e.tenant != "" {
+		held := func() int64 { return tracker.byTenant[e.tenant] }
+		victims = tracker.evictSlowest(now, ScopeTenant, limit-bytes, held, func(other *Exchange) bool { return other != e && other.tenant == e.tenant })
 		if held()+bytes > limit {
-			return ended, &FullError{Scope: ScopeTenant, Held: held(), Limit: limit}
+			return victims, &FullError{Scope: ScopeTenant, Held: held(), Limit: limit}
 		}
 	}
-	if limit := e.part(ledger.limits.Total, bytes); limit > 0 {
-		held := func() int64 { return ledger.held }
-		ended = append(ended, ledger.makeRoom(now, ScopeTotal, limit-bytes, held, func(other *Exchange) bool { return other != e })...)
+	if limit := e.usableLimit(tracker.limits.Total, bytes); limit > 0 {
+		held := func() int64 { return tracker.held }
+		victims = append(victims, tracker.evictSlowest(now, ScopeTotal, limit-bytes, held, func(other *Exchange) bool { return other != e })...)
 		if held()+bytes > limit {
-			return ended, &FullError{Scope: ScopeTotal, Held: held(), Limit: limit}
+			return victims, &FullError{Scope: ScopeTotal, Held: held(), Limit: limit}
 		}
 	}
 	e.held += bytes
-	ledger.held += bytes
-	ledger.add(e.tenant, bytes)
-	return ended, nil
+	tracker.held += bytes
+	tracker.add(e.tenant, bytes)
+	return victims, nil
 }
 
-// part is how much of a bound the exchange may use to hold more bytes.
-func (e *Exchange) part(limit, bytes int64) int64 {
-	if e.held+bytes <= smallBytes {
+// usableLimit returns how much of a bound the exchange may use to hold the additional bytes.
+func (e *Exchange) usableLimit(limit, bytes int64) int64 {
+	if e.held+bytes <= smallExchangeBytes {
 		return limit
 	}
-	return int64(largeShare * float64(limit))
+	return int64(largeExchangeShare * float64(limit))
 }
 
-// Release accounts for bytes that are no longer held.
+// Release accounts for bytes that are no longer buffered.
 func (e *Exchange) Release(bytes int64) {
 	if e == nil {
 		return
 	}
-	e.ledger.mutex.Lock()
-	defer e.ledger.mutex.Unlock()
+	e.tracker.mutex.Lock()
+	defer e.tracker.mutex.Unlock()
 	if e.closed {
 		return
 	}
 	bytes = min(bytes, e.held)
 	e.held -= bytes
-	e.ledger.held -= bytes
-	e.ledger.add(e.tenant, -bytes)
+	e.tracker.held -= bytes
+	e.tracker.add(e.tenant, -bytes)
 }
 
-// StartWaiting notes that the peer keeps the daemon waiting from now on, to take bytes or to give some.
+// StartWaiting records that the daemon now waits for the peer to receive or send bytes.
 func (e *Exchange) StartWaiting(now time.Time) {
 	if e == nil {
 		return
@@ -116,7 +116,7 @@
 	}
 }
 
-// RecordProgress notes that the peer has taken or given some bytes.
+// RecordProgress records that the peer has received or sent some bytes.
 func (e *Exchange) RecordProgress(bytes int64) {
 	if e == nil {
 		return
@@ -126,17 +126,17 @@
 	e.progress.moved += bytes
 }
 
-// StopWaiting notes that the peer has taken or given all there is.
+// StopWaiting records that the peer has received or sent everything available.
 func (e *Exchange) StopWaiting() {
 	if e == nil {
 		return
 	}
 	e.progress.mutex.Lock()
 	defer e.progress.mutex.Unlock()
-	e.progress.waitingSince, e.progress.told = time.Time{}, false
+	e.progress.waitingSince, e.progress.stallReported = time.Time{}, false
 }
 
-// SetDeadline tells when nobody waits for the exchange any more.
+// SetDeadline sets the time after which nobody waits for the exchange any more.
 func (e *Exchange) SetDeadline(deadline time.Time) {
 	if e == nil {
 		return
@@ -146,32 +146,34 @@
 	e.progress.deadline = deadline
 }
 
-// OnStall sets what is told, once for each time, that the peer keeps the daemon waiting for long. It must not block.
-func (e *Exchange) OnStall(tell func()) {
+// OnStall sets a callback that is called once per wait in which the peer is stalled for longer
+// than stallNotifyAfter. It must not block.
+func (e *Exchange) OnStall(report func()) {
 	if e == nil {
 		return
 	}
 	e.progress.mutex.Lock()
 	defer e.progress.mutex.Unlock()
-	e.progress.onStall = tell
+	e.progress.onStall = report
 }
 
-// Evicted tells whether the exchange was ended to make room, or since its time is over.
+// Evicted reports whether the exchange was evicted to free memory or because its deadline has
+// passed.
 func (e *Exchange) Evicted() bool {
 	if e == nil {
 		return false
 	}
-	e.ledger.mutex.Lock()
-	defer e.ledger.mutex.Unlock()
+	e.tracker.mutex.Lock()
+	defer e.tracker.mutex.Unlock()
 	return e.evicted
 }
 
-// Close ends the account; nothing is held for the exchange any more.
+// Close ends the accounting and releases all bytes of the exchange.
 func (e *Exchange) Close() {
 	if e == nil {
 		return
 	}
-	e.ledger.mutex.Lock()
-	defer e.ledger.mutex.Unlock()
-	e.ledger.close(e)
+	e.tracker.mutex.Lock()
+	defer e.tracker.mutex.Unlock()
+	e.tracker.close(e)
 }
--- a/internal/core/buffers/progress.go
+++ b/internal/core/buffers/progress.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// progress is how far a peer keeps the daemon waiting.
+// progress tracks how long the daemon has been waiting for a peer.
 type progress struct {
 	mutex sync.Mutex
-	// waitingSince is since when it does, zero while it doesn't; moved is how many bytes it has taken or given since
-	// then.
+	// waitingSince is the start of the current wait, or zero. moved is the number of bytes that the
+	// peer has received or sent since then.
 	waitingSince time.Time
 	moved        int64
 	// deadline is when nobody waits for the exchange any more; zero is never.
 	deadline time.Time
-	// onStall is told once of each long wait; told is set then.
-	onStall func()
-	told    bool
+	// onStall is called once per long wait; stallReported is set then.
+	onStall       func()
+	stallReported bool
 }
 
-// pace is how a peer went on up to a moment. Waited is zero where it doesn't keep the daemon waiting.
+// pace is a snapshot of a peer's progress. waited is zero if the daemon isn't waiting for it.
 type pace struct {
 	waited  time.Duration
 	moved   int64
 	expired bool
 }
 
-func (p *progress) waits() bool {
+func (p *progress) isWaiting() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return !p.waitingSince.IsZero()
@@ -43,21 +43,21 @@
 	}
 }
 
-// slow tells whether the peer may be ended for room.
-func (p pace) slow() bool { return p.waited >= leastStall && p.rate() < healthyRate }
+// slow reports whether the peer may be evicted.
+func (p pace) slow() bool { return p.waited >= minStall && p.rate() < minHealthyRate }
 
-// rate is how many bytes a second the peer has moved since it keeps the daemon waiting.
+// rate is the peer's transfer rate in bytes per second since the start of the wait.
 func (p pace) rate() float64 {
 	return float64(p.moved) / max(p.waited.Seconds(), time.Millisecond.Seconds())
 }
 
-// stall returns what is to be told of a long wait, the first time; nil otherwise.
+// stall returns the callback if a stall is to be reported now, or nil.
 func (p *progress) stall(now time.Time) func() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.told || p.onStall == nil || p.waitingSince.IsZero() || now.Sub(p.waitingSince) < stallNotice {
+	if p.stallReported || p.onStall == nil || p.waitingSince.IsZero() || now.Sub(p.waitingSince) < stallNotifyAfter {
 		return nil
 	}
-	p.told = true
+	p.stallReported = true
 	return p.onStall
 }
