--- a/internal/core/buffers/buffers_test.go
+++ b/internal/core/buffers/buffers_test.go
@@ -35,7 +35,7 @@
 	return exchange
 }
 
-func TestSlowestIsEndedFirst(t *testing.T) {
+func TestSlowestIsEvictedFirst(t *testing.T) {
 	h := newHarness(buffers.Limits{Total: 100 * kilobyte})
 	silent, trickling, healthy := h.open("silent", "a"), h.open("trickling", "a"), h.open("healthy", "b")
 	for _, exchange := range []*buffers.Exchange{silent, trickling, healthy} {
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestTenantsSlowCallersCostNoOtherTenant(t *testing.T) {
+func TestSlowTenantDoesNotAffectOthers(t *testing.T) {
 	h := newHarness(buffers.Limits{Total: 100 * kilobyte, PerTenant: 40 * kilobyte})
 	other := h.open("other", "b")
 	assert.NilError(t, other.Reserve(start, 20*kilobyte))
@@ -96,7 +96,7 @@
 	assert.Equal(t, h.evictions[0].Scope, buffers.ScopeTenant)
 }
 
-func TestExpiredStalledExchangeIsEnded(t *testing.T) {
+func TestExpiredStalledExchangeIsEvicted(t *testing.T) {
 	h := newHarness(buffers.Limits{})
 	exchange := h.open("gone", "a")
 	exchange.SetDeadline(start.Add(10 * time.Second))
@@ -108,7 +108,7 @@
 	}
 	assert.Equal(t, stalls, 1)
 	assert.Equal(t, len(h.evictions), 0)
-	exchange.RecordProgress(1 << 20) // enough for a while
+	exchange.RecordProgress(1 << 20) // a healthy rate until well after the next check
 	h.tracker.Check(start.Add(12 * time.Second))
 	assert.Equal(t, len(h.evictions), 0)
 	h.tracker.Check(start.Add(2 * time.Minute))
--- a/internal/core/lease/incarnation_test.go
+++ b/internal/core/lease/incarnation_test.go
@@ -26,10 +26,10 @@
 	return machine.Tick(now.Add(time.Millisecond))
 }
 
-// TestOnlyIncarnationTakesOverAtOnce checks that a daemon takes over the lease of its own earlier
+// TestSoleIncarnationTakesOverAtOnce checks that a daemon takes over the lease of its own earlier
 // incarnation without waiting, under a newer token, but only if that incarnation has certainly
 // ended, and never the lease of another daemon.
-func TestOnlyIncarnationTakesOverAtOnce(t *testing.T) {
+func TestSoleIncarnationTakesOverAtOnce(t *testing.T) {
 	settings := Settings{Key: testKey, Holder: "one", Incarnation: 2, Duration: testDuration, SoleIncarnation: true}
 	commit, commits := afterRead(t, settings, rowOf(1, 5)).(Commit)
 	assert.Assert(t, commits)
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -271,7 +271,7 @@
 					t.Skip("no orphaned calls")
 				}
 				index := rapid.IntRange(0, len(c.orphanedCalls)-1).Draw(t, "stray")
-				_, _ = c.apply(c.orphanedCalls[index]) // nobody waits for the answer
+				_, _ = c.apply(c.orphanedCalls[index]) // the response is discarded
 			},
 			"work": func(t *rapid.T) {
 				one := pick(t)
@@ -355,7 +355,7 @@
 	next := New(settings)
 	next.Want(true)
 	now := time.Unix(1000, 0)
-	assert.Assert(t, next.Tick(now) != nil) // reads no row
+	assert.Assert(t, next.Tick(now) != nil) // the row does not exist yet
 	assert.NilError(t, next.ReadDone(now, nil, nil))
 	era = 1
 	now = now.Add(time.Second)
