--- a/internal/relay/caching.go
+++ b/internal/relay/caching.go
@@ -115,7 +115,7 @@
 		dispatch.FetchFrom = r.fetchFrom(now, admitted, ticket, store)
 	}
 	fact := promptcache.Fact{Part: deepest.key, Backend: ticket.Key, Tokens: deepest.tokens}
-	worthSaving := r.options.Memory.Sent(now, fact, deepest.tokens, total)
+	worthSaving := r.options.Memory.RecordDispatch(now, fact, deepest.tokens, total)
 	stored := store != nil && r.isStored(store, deepest, r.options.Memory.Holders(now, deepest.key))
 	if worthSaving && store != nil && !stored && r.reserveSave(now, admitted, store, total) {
 		dispatch.SaveTo = store.Address
@@ -219,10 +219,10 @@
 	now := r.options.Now()
 	for _, shared := range r.sharedPrefixes(admitted, ticket.Version) {
 		fact := promptcache.Fact{Part: shared.key, Backend: ticket.Key, Tokens: shared.tokens}
-		r.options.Memory.HasRead(now, fact)
+		r.options.Memory.RecordRead(now, fact)
 		if savedTo != "" {
 			fact.Backend = rendezvous.Key(savedTo)
-			r.options.Memory.HasRead(now, fact)
+			r.options.Memory.RecordRead(now, fact)
 		}
 	}
 }
--- a/internal/relay/crashes.go
+++ b/internal/relay/crashes.go
@@ -13,7 +13,7 @@
 // Crashes tracks which requests were in flight when backends crashed, across all daemons.
 type Crashes interface {
 	// Verdict returns what is currently believed about a request.
-	Verdict(fingerprint quarantine.Fingerprint) quarantine.Verdict
+	Verdict(fingerprint quarantine.Fingerprint) quarantine.Status
 	// Lost records that the connection to a backend was lost while a request was in flight.
 	Lost(fingerprint quarantine.Fingerprint, backend identity.BackendID)
 	// Served records that a request received a complete answer.
@@ -31,9 +31,9 @@
 // noCrashes tracks nothing.
 type noCrashes struct{}
 
-func (noCrashes) Verdict(quarantine.Fingerprint) quarantine.Verdict { return quarantine.Verdict{} }
-func (noCrashes) Lost(quarantine.Fingerprint, identity.BackendID)   {}
-func (noCrashes) Served(quarantine.Fingerprint)                     {}
+func (noCrashes) Verdict(quarantine.Fingerprint) quarantine.Status { return quarantine.Status{} }
+func (noCrashes) Lost(quarantine.Fingerprint, identity.BackendID)  {}
+func (noCrashes) Served(quarantine.Fingerprint)                    {}
 
 const (
 	// crashVerdictTimeout bounds the wait for the check whether a backend that cut the request has
--- a/internal/relay/readahead.go
+++ b/internal/relay/readahead.go
@@ -138,7 +138,7 @@
 func (a *readAhead) reserve() bool {
 	a.mutex.Unlock()
 	defer a.mutex.Lock()
-	return a.account.Hold(a.now(), readAheadChunk) == nil
+	return a.account.Reserve(a.now(), readAheadChunk) == nil
 }
 
 // appendBuffered appends bytes for which space is reserved, and returns the unused part of the
@@ -170,14 +170,14 @@
 // measures how fast the caller reads.
 func (r *run) write(piece []byte) error {
 	account := r.admitted.request.Account
-	account.Waits(r.now())
-	defer account.Ready()
+	account.StartWaiting(r.now())
+	defer account.StopWaiting()
 	for len(piece) > 0 {
 		part := piece[:min(len(piece), writeChunk)]
 		if err := r.caller.Write(part); err != nil {
 			return err
 		}
-		account.Moved(int64(len(part)))
+		account.RecordProgress(int64(len(part)))
 		piece = piece[len(part):]
 	}
 	return nil
@@ -186,8 +186,8 @@
 // flush flushes written data to the network and reports to the account how long that takes.
 func (r *run) flush() error {
 	account := r.admitted.request.Account
-	account.Waits(r.now())
-	defer account.Ready()
+	account.StartWaiting(r.now())
+	defer account.StopWaiting()
 	return r.caller.Flush()
 }
 
--- a/internal/relay/readahead_test.go
+++ b/internal/relay/readahead_test.go
@@ -46,7 +46,7 @@
 // slowCallerFixture is a relay whose only backend streams what is written to a pipe.
 type slowCallerFixture struct {
 	*fixture
-	ledger *buffers.Ledger
+	ledger *buffers.Tracker
 	caller *stallingCaller
 	body   *io.PipeWriter
 	done   chan struct{}
@@ -73,7 +73,7 @@
 // continuously.
 func newSlowCallerFixture(t interface{ Cleanup(func()) }, limits buffers.Limits) *slowCallerFixture {
 	made := &slowCallerFixture{
-		fixture: newFixture(routing.Route{Kind: routing.KindStreaming, MaxAttempts: 2, Resumable: true, GapTarget: 100 * time.Millisecond}, 1, 10), ledger: buffers.NewLedger(limits, nil),
+		fixture: newFixture(routing.Route{Kind: routing.KindStreaming, MaxAttempts: 2, Resumable: true, GapTarget: 100 * time.Millisecond}, 1, 10), ledger: buffers.NewTracker(limits, nil),
 		caller: &stallingCaller{}, done: make(chan struct{}),
 	}
 	var reader *io.PipeReader
--- a/internal/relay/regions.go
+++ b/internal/relay/regions.go
@@ -27,14 +27,14 @@
 		return r.tryBackends(ctx, query)
 	}
 	limited := query.Limits != (backendpool.Limits{})
-	triedOwn := limited && regionchoice.OwnIsLeast(regions)
+	triedOwn := limited && regionchoice.LocalIsCheapest(regions)
 	if triedOwn {
 		if ticket := r.tryBackends(ctx, r.inRegion(query, r.relay.options.Pool.Region())); ticket != nil {
 			return ticket
 		}
 	}
 	ordered := regionchoice.Order(r.withRemoteRooms(ctx, query, regions), limited)
-	if !slices.ContainsFunc(ordered, func(region regionchoice.Region) bool { return region.Own }) {
+	if !slices.ContainsFunc(ordered, func(region regionchoice.Region) bool { return region.Local }) {
 		return r.tryRemoteRegions(ctx, query, ordered)
 	}
 	return r.tryInOrder(ctx, query, ordered, triedOwn)
@@ -46,13 +46,13 @@
 func (r *run) tryInOrder(ctx context.Context, query backendpool.Query, ordered []regionchoice.Region, triedOwn bool) *backendpool.Ticket {
 	shortage := r.shortage
 	for _, region := range ordered {
-		if (triedOwn && region.Own) || !r.relay.takeRegionCredit(query, region) {
+		if (triedOwn && region.Local) || !r.relay.takeRegionCredit(query, region) {
 			continue
 		}
 		if ticket := r.tryBackends(ctx, r.inRegion(query, region.Region)); ticket != nil {
 			return ticket
 		}
-		if region.Own {
+		if region.Local {
 			shortage = r.shortage
 		}
 	}
@@ -102,7 +102,7 @@
 	query.Limits = limits
 	r.restrictQuery(&query)
 	for _, region := range regionchoice.Order(r.withRemoteRooms(ctx, query, r.regions(query)), true) {
-		if region.Own || !r.relay.takeRegionCredit(query, region) {
+		if region.Local || !r.relay.takeRegionCredit(query, region) {
 			continue
 		}
 		if ticket := r.tryBackends(ctx, r.inRegion(query, region.Region)); ticket != nil {
@@ -115,7 +115,7 @@
 // takeRegionCredit takes one request from this daemon's share of another region's capacity. It
 // returns true for the own region and for regions whose capacity is unknown.
 func (r *Relay) takeRegionCredit(query backendpool.Query, region regionchoice.Region) bool {
-	return region.Own || !region.Known || r.credit.Take(query.Service, region.Region, region.ToldAt, region.Free, region.Outside)
+	return region.Local || !region.Known || r.credit.Take(query.Service, region.Region, region.ReportedAt, region.Free, region.DaemonsOutside)
 }
 
 // regions returns the regions with backends that match the query. Only the own region's capacity
@@ -125,9 +125,9 @@
 	var found []regionchoice.Region
 	rooms := pool.RegionCapacities(r.now(), query.Service)
 	for _, lacking := range pool.UncachedByRegion(r.now(), query) {
-		region := regionchoice.Region{RegionCapacity: backendpool.RegionCapacity{Region: lacking.Region}, Own: lacking.Region == pool.Region(), Lacking: lacking.Tokens}
+		region := regionchoice.Region{RegionCapacity: backendpool.RegionCapacity{Region: lacking.Region}, Local: lacking.Region == pool.Region(), UncachedTokens: lacking.Tokens}
 		for _, room := range rooms {
-			if room.Region == region.Region && region.Own {
+			if room.Region == region.Region && region.Local {
 				region.RegionCapacity, region.Known = room, true
 				region.Free = room.Free(query.Limits, query.SharedTokens+query.OwnTokens)
 			}
@@ -146,8 +146,8 @@
 	for index := range regions {
 		region := &regions[index]
 		for _, room := range reports {
-			if room.Region == region.Region && !region.Own {
-				region.RegionCapacity, region.Known, region.ToldAt, region.Outside = room.RegionCapacity, true, room.At, room.Outside
+			if room.Region == region.Region && !region.Local {
+				region.RegionCapacity, region.Known, region.ReportedAt, region.DaemonsOutside = room.RegionCapacity, true, room.At, room.Outside
 				region.Free = room.Free(query.Limits, query.SharedTokens+query.OwnTokens)
 			}
 		}
--- a/internal/relay/regions_test.go
+++ b/internal/relay/regions_test.go
@@ -160,7 +160,7 @@
 		fixture, rooms := newRegionFixture(streamingRoute, "a", "b")
 		rooms.reports = []roomshare.RoomReport{roomReport("region-b", 4)}
 		key := promptcache.KeyOf(cacheSalt(1, nil), "a")
-		fixture.relay.options.Memory.Holds(time.Now(), promptcache.Fact{Part: key, Backend: rendezvous.Key("b1"), Tokens: tokens})
+		fixture.relay.options.Memory.RecordHeld(time.Now(), promptcache.Fact{Part: key, Backend: rendezvous.Key("b1"), Tokens: tokens})
 		caller := fixture.ask(func(request *Request) {
 			request.Prompt = &Prompt{Model: "m", Parts: []Part{{ID: "a", Tokens: tokens}, {ID: "b", Tokens: 3000}}}
 		})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -45,7 +45,7 @@
 	Budgets  *RetryBudgets
 	Policy   Policy
 	// Memory records which backends and stores hold shared parts of prompts.
-	Memory *promptcache.Memory
+	Memory *promptcache.Index
 	// Stores returns the believed contents of the prompt cache store at an address.
 	Stores func(address string) *cachewatch.Cache
 	// Daemons returns the assumed number of daemons.
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -76,7 +76,7 @@
 	// limitGrant is the current ticket's grant from its backend's limit, or nil.
 	limitGrant *sharedlimit.Grant
 	// verdict is the last verdict on backend crashes during the request.
-	verdict quarantine.Verdict
+	verdict quarantine.Status
 }
 
 func newRun(relay *Relay, admitted *admission, caller Caller) *run {
--- a/internal/relay/waiting.go
+++ b/internal/relay/waiting.go
@@ -107,7 +107,7 @@
 			ahead++
 		}
 	}
-	return l.queue(service).Wait(now, ahead)
+	return l.queue(service).EstimateWait(now, ahead)
 }
 
 // retryAfter records that a request is refused for lack of a free slot, and returns its retry
--- a/internal/relay/whole.go
+++ b/internal/relay/whole.go
@@ -97,7 +97,7 @@
 // they have already been read, but Write returns an error.
 func (w accountedWriter) Write(piece []byte) (int, error) {
 	w.buffer.Write(piece)
-	return len(piece), w.run.admitted.request.Account.Hold(w.run.now(), int64(len(piece)))
+	return len(piece), w.run.admitted.request.Account.Reserve(w.run.now(), int64(len(piece)))
 }
 
 // callerWriter adapts a caller to io.Writer.
