--- a/internal/core/rollout/comparison_test.go
+++ b/internal/core/rollout/comparison_test.go
@@ -17,8 +17,8 @@
 // answersPerLook is the number of all answers between two looks: a fifth of a second at 700 a second.
 const answersPerLook = 140
 
-// world draws the answers of a service during a trial, as a collector sees them.
-type world struct {
+// simulation draws the answers of a service during a trial, as a collector sees them.
+type simulation struct {
 	random        *rand.Rand
 	stable, trial []backend
 	// failed and slow are shares of the answers of sound back ends.
@@ -26,7 +26,7 @@
 	// version gives the target's own shares, by route and how much of the trial is past.
 	version func(route int, past float64) (failed, slow float64)
 	// disturb changes the world before an answer.
-	disturb func(w *world, past float64)
+	disturb func(w *simulation, past float64)
 }
 
 // backend is a back end with its own faults, as shares of its answers; the next lost ones fail.
@@ -36,13 +36,13 @@
 	lost         int
 }
 
-// newWorld draws a service with so many back ends in the trial, of which a share is faulty.
-func newWorld(seed uint64, trial int, faulty float64) *world {
+// newSimulation draws a service with so many back ends in the trial, of which a share is faulty.
+func newSimulation(seed uint64, trial int, faulty float64) *simulation {
 	random := rand.New(rand.NewPCG(seed, uint64(trial)))
-	return &world{
+	return &simulation{
 		random: random, stable: drawBackends(random, 10*trial, faulty), trial: drawBackends(random, trial, faulty),
 		failed: 0.004, slow: 0.01,
-		version: after(0, 0, 0), disturb: func(*world, float64) {},
+		version: after(0, 0, 0), disturb: func(*simulation, float64) {},
 	}
 }
 
@@ -62,7 +62,7 @@
 }
 
 // result draws an answer's result, and whether the version made it bad.
-func (w *world) result(on *backend, failed, slow float64) (result Result, own bool) {
+func (w *simulation) result(on *backend, failed, slow float64) (result Result, own bool) {
 	happens := func(share float64) bool { return w.random.Float64() < share }
 	on.lost--
 	switch {
@@ -81,7 +81,7 @@
 
 // run plays a trial of a number of the target's answers, and returns the last verdict and the
 // number of answers that the version itself had made bad by then.
-func (w *world) run(answers int) (verdict Verdict, bad int) {
+func (w *simulation) run(answers int) (verdict Verdict, bad int) {
 	daemons, monitor := make([]Evidence, 20), &Monitor{}
 	for sent, all := 0, 0; sent < answers; all++ {
 		past := float64(sent) / float64(answers)
@@ -136,7 +136,7 @@
 // on both sides. Bad answers count up to the look that found the version; between two looks a
 // version at which most are slow gives nine.
 func TestBadVersionsAreFound(t *testing.T) {
-	type bars struct {
+	type limits struct {
 		answers, median int
 		// by50 is how many in 100 are found at 50 bad answers at the latest. Of few draws one may
 		// be missing.
@@ -144,21 +144,21 @@
 	}
 	for name, each := range map[string]struct {
 		version func(route int, past float64) (failed, slow float64)
-		bars
+		limits
 	}{
-		"5 in 100 fail":                        {after(0, 0.05, 0), bars{1500, 25, 95}},
-		"30 in 100 fail":                       {after(0, 0.3, 0), bars{300, 25, 98}},
-		"three times slower":                   {after(0, 0, 0.8), bars{300, 25, 98}},
-		"5 in 100 fail on one route":           {onRoute(1, 0, 0.05, 0), bars{1500, 25, 65}},
-		"5 in 100 fail after a third":          {after(0.34, 0.05, 0), bars{1500, 35, 80}},
-		"30 in 100 fail after a third":         {after(0.34, 0.3, 0), bars{1500, 25, 98}},
-		"30 in 100 fail after a third, few":    {after(0.34, 0.3, 0), bars{300, 25, 95}},
-		"slower after a third":                 {after(0.34, 0, 0.8), bars{1500, 30, 98}},
-		"30 in 100 fail from half load":        {after(0.5, 0.3, 0), bars{1500, 25, 98}},
-		"slower from half load":                {after(0.5, 0, 0.8), bars{1500, 30, 98}},
-		"30 in 100 fail on a small route":      {onRoute(2, 0, 0.3, 0), bars{1500, 25, 98}},
-		"slower on one route":                  {onRoute(1, 0, 0, 0.8), bars{300, 25, 98}},
-		"30 in 100 fail on one route, a third": {onRoute(1, 0.34, 0.3, 0), bars{1500, 25, 98}},
+		"5 in 100 fail":                        {after(0, 0.05, 0), limits{1500, 25, 95}},
+		"30 in 100 fail":                       {after(0, 0.3, 0), limits{300, 25, 98}},
+		"three times slower":                   {after(0, 0, 0.8), limits{300, 25, 98}},
+		"5 in 100 fail on one route":           {onRoute(1, 0, 0.05, 0), limits{1500, 25, 65}},
+		"5 in 100 fail after a third":          {after(0.34, 0.05, 0), limits{1500, 35, 80}},
+		"30 in 100 fail after a third":         {after(0.34, 0.3, 0), limits{1500, 25, 98}},
+		"30 in 100 fail after a third, few":    {after(0.34, 0.3, 0), limits{300, 25, 95}},
+		"slower after a third":                 {after(0.34, 0, 0.8), limits{1500, 30, 98}},
+		"30 in 100 fail from half load":        {after(0.5, 0.3, 0), limits{1500, 25, 98}},
+		"slower from half load":                {after(0.5, 0, 0.8), limits{1500, 30, 98}},
+		"30 in 100 fail on a small route":      {onRoute(2, 0, 0.3, 0), limits{1500, 25, 98}},
+		"slower on one route":                  {onRoute(1, 0, 0, 0.8), limits{300, 25, 98}},
+		"30 in 100 fail on one route, a third": {onRoute(1, 0.34, 0.3, 0), limits{1500, 25, 98}},
 	} {
 		for _, trial := range []int{3, 11} {
 			for _, faulty := range []float64{0, 0.14} {
@@ -166,7 +166,7 @@
 					t.Parallel()
 					var found []int
 					for seed := range uint64(*draws) {
-						drawn := newWorld(seed, trial, faulty)
+						drawn := newSimulation(seed, trial, faulty)
 						drawn.version = each.version
 						verdict, bad := drawn.run(each.answers)
 						if !verdict.Bad {
@@ -192,10 +192,10 @@
 	t.Run("draws", func(t *testing.T) {
 		for name, each := range map[string]struct {
 			faulty  float64
-			disturb func(w *world, past float64)
+			disturb func(w *simulation, past float64)
 		}{
-			"calm":                {0, func(*world, float64) {}},
-			"faulty back ends":    {0.14, func(*world, float64) {}},
+			"calm":                {0, func(*simulation, float64) {}},
+			"faulty back ends":    {0.14, func(*simulation, float64) {}},
 			"faulty in the trial": {0, faultyInTrial},
 			"crashes":             {0.05, crashes},
 			"hot key":             {0.05, hotKey},
@@ -208,7 +208,7 @@
 						t.Parallel()
 						bad, passed := 0, 0
 						for seed := range uint64(*draws) {
-							drawn := newWorld(seed, trial, each.faulty)
+							drawn := newSimulation(seed, trial, each.faulty)
 							drawn.disturb = each.disturb
 							verdict, _ := drawn.run(answers)
 							if verdict.Bad {
@@ -231,7 +231,7 @@
 }
 
 // faultyInTrial makes one trial back end of three faulty, or two of eleven, and none of the others.
-func faultyInTrial(w *world, past float64) {
+func faultyInTrial(w *simulation, past float64) {
 	if past > 0 {
 		return
 	}
@@ -242,7 +242,7 @@
 }
 
 // crashes ends each back end once in 100,000 answers with five requests under way; another begins.
-func crashes(w *world, _ float64) {
+func crashes(w *simulation, _ float64) {
 	for _, all := range [][]backend{w.stable, w.trial} {
 		if w.random.Float64() < float64(len(all))/100_000 {
 			*pick(w.random, all) = backend{key: w.random.Uint64(), lost: 5}
@@ -251,7 +251,7 @@
 }
 
 // hotKey makes a third of all answers slow for a while.
-func hotKey(w *world, past float64) {
+func hotKey(w *simulation, past float64) {
 	w.slow = 0.01
 	if past > 0.3 && past < 0.5 {
 		w.slow = 0.3
@@ -259,7 +259,7 @@
 }
 
 // emptyCaches makes some of the target's first answers slow.
-func emptyCaches(w *world, past float64) {
+func emptyCaches(w *simulation, past float64) {
 	if past < 0.1 {
 		w.version = after(0, 0, 0.03)
 		return
@@ -269,7 +269,7 @@
 
 // weightsAreLoaded makes a fifth of the answers of one back end in ten slow, one after the other:
 // one that loads gets no requests, and comes back with empty caches.
-func weightsAreLoaded(w *world, past float64) {
+func weightsAreLoaded(w *simulation, past float64) {
 	for _, all := range [][]backend{w.stable, w.trial} {
 		for index := range all {
 			if all[index].slow < 0.9 {
@@ -293,7 +293,7 @@
 	}{{1, 1, 4, 0, 100}, {1, 2, 8, 0, 100}, {1, 3, 8, 0, 100}, {0.3, 1, 30, 5, 100}, {0.3, 3, 30, 40, 100}, {0.3, 3, 8, 90, 100}} {
 		promoted := 0
 		for seed := range uint64(each.ofTotal) {
-			drawn := newWorld(seed, each.trial, 0)
+			drawn := newSimulation(seed, each.trial, 0)
 			drawn.version = after(0, each.failed, 0)
 			if verdict, _ := drawn.run(each.answers); verdict.Enough {
 				promoted++
@@ -328,7 +328,7 @@
 		failed, slow float64
 		bad          bool
 	}{{0, 0.03, false}, {0.05, 0, true}, {0.3, 0, true}, {0, 0.8, true}} {
-		drawn, monitor := newWorld(1, 11, 0), &Monitor{}
+		drawn, monitor := newSimulation(1, 11, 0), &Monitor{}
 		var pooled Evidence
 		for number := range 12_000 {
 			target := number%12 == 0
--- a/internal/core/rollout/evidence.go
+++ b/internal/core/rollout/evidence.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func (c *Counts) raise(to Counts) {
+func (c *Counts) raiseTo(to Counts) {
 	c.Good, c.Bad, c.Slow = max(c.Good, to.Good), max(c.Bad, to.Bad), max(c.Slow, to.Slow)
 }
 
@@ -61,8 +61,8 @@
 // highest of each hold: they may come in parts, twice and late.
 func (e *Evidence) Renew(told Evidence) {
 	for _, theirs := range told.Routes {
-		route := e.route(theirs.Route)
-		route.Stable.raise(theirs.Stable)
+		route := e.findOrAddRoute(theirs.Route)
+		route.Stable.raiseTo(theirs.Stable)
 		raiseBackends(&route.Target, theirs.Target)
 	}
 	raiseBackends(&e.StableSample, told.StableSample)
@@ -110,22 +110,22 @@
 
 // Note counts an answer of the target or else of the stable version.
 func (e *Evidence) Note(target bool, answer Answer) {
-	route := e.route(answer.Route)
+	route := e.findOrAddRoute(answer.Route)
 	if !target {
 		route.Stable.note(answer.Result)
-		e.sample(answer)
+		e.noteStableSample(answer)
 		return
 	}
-	backendOf(&route.Target, answer.Backend).Counts.note(answer.Result)
+	findOrAddBackend(&route.Target, answer.Backend).Counts.note(answer.Result)
 }
 
-// sample counts an answer of the stable version if its back end is among those of the sample.
-func (e *Evidence) sample(answer Answer) {
+// noteStableSample counts an answer of the stable version if its back end is among those of the noteStableSample.
+func (e *Evidence) noteStableSample(answer Answer) {
 	full := len(e.StableSample) >= stableSampleSize
 	if full && answer.Backend > e.StableSample[stableSampleSize-1].Backend {
 		return
 	}
-	backendOf(&e.StableSample, answer.Backend).Counts.note(answer.Result)
+	findOrAddBackend(&e.StableSample, answer.Backend).Counts.note(answer.Result)
 	e.trimSample()
 }
 
@@ -136,7 +136,7 @@
 // Merge adds what another daemon has counted.
 func (e *Evidence) Merge(other Evidence) {
 	for _, theirs := range other.Routes {
-		route := e.route(theirs.Route)
+		route := e.findOrAddRoute(theirs.Route)
 		route.Stable.merge(theirs.Stable)
 		mergeBackends(&route.Target, theirs.Target)
 	}
@@ -148,11 +148,11 @@
 func (e *Evidence) since(earlier *Evidence) Evidence {
 	var newer Evidence
 	for _, now := range e.Routes {
-		then := earlier.route(now.Route)
-		route := newer.route(now.Route)
+		then := earlier.findOrAddRoute(now.Route)
+		route := newer.findOrAddRoute(now.Route)
 		route.Stable = now.Stable.since(then.Stable)
 		for _, backend := range now.Target {
-			before := backendOf(&then.Target, backend.Backend).Counts
+			before := findOrAddBackend(&then.Target, backend.Backend).Counts
 			if counts := backend.Counts.since(before); counts.Total() > 0 {
 				route.Target = append(route.Target, BackendCounts{Backend: backend.Backend, Counts: counts})
 			}
@@ -188,8 +188,8 @@
 	return sum
 }
 
-// route finds or adds a route. There are few, so that a search costs less than a map.
-func (e *Evidence) route(name string) *RouteEvidence {
+// findOrAddRoute finds or adds a findOrAddRoute. There are few, so that a search costs less than a map.
+func (e *Evidence) findOrAddRoute(name string) *RouteEvidence {
 	for index := range e.Routes {
 		if e.Routes[index].Route == name {
 			return &e.Routes[index]
@@ -201,18 +201,18 @@
 
 func mergeBackends(into *[]BackendCounts, other []BackendCounts) {
 	for _, theirs := range other {
-		backendOf(into, theirs.Backend).Counts.merge(theirs.Counts)
+		findOrAddBackend(into, theirs.Backend).Counts.merge(theirs.Counts)
 	}
 }
 
 func raiseBackends(known *[]BackendCounts, told []BackendCounts) {
 	for _, theirs := range told {
-		backendOf(known, theirs.Backend).Counts.raise(theirs.Counts)
+		findOrAddBackend(known, theirs.Backend).Counts.raiseTo(theirs.Counts)
 	}
 }
 
-// backendOf finds or adds a back end in an ordered list.
-func backendOf(list *[]BackendCounts, backend uint64) *BackendCounts {
+// findOrAddBackend finds or adds a back end in an ordered list.
+func findOrAddBackend(list *[]BackendCounts, backend uint64) *BackendCounts {
 	index, found := slices.BinarySearchFunc(*list, backend, func(each BackendCounts, wanted uint64) int {
 		return cmp.Compare(each.Backend, wanted)
 	})
--- a/internal/core/rollout/evidence_test.go
+++ b/internal/core/rollout/evidence_test.go
@@ -132,7 +132,7 @@
 // BenchmarkCompare measures one look at the evidence of a service with 4 routes and 11 back ends in
 // the trial. It took 21 us on a machine with a load of 21 on 12 cores.
 func BenchmarkCompare(b *testing.B) {
-	drawn := newWorld(1, 11, 0.14)
+	drawn := newSimulation(1, 11, 0.14)
 	var pooled Evidence
 	for number := range 6000 {
 		target := number%12 == 0
--- a/internal/core/rollout/exposure_test.go
+++ b/internal/core/rollout/exposure_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// exposed is one daemon with its own rate of requests and routes.
-type exposed struct {
+// daemonExposure is one daemon with its own rate of requests and routes.
+type daemonExposure struct {
 	*Exposure
 	rate   float64
 	paused bool
@@ -24,9 +24,9 @@
 		share := rapid.Float64Range(0.01, 0.3).Draw(t, "share")
 		routes := rapid.IntRange(1, 4).Draw(t, "routes")
 		restarts := rapid.Float64Range(0, 0.003).Draw(t, "restarts")
-		daemons := make([]exposed, rapid.IntRange(1, 83).Draw(t, "daemons"))
+		daemons := make([]daemonExposure, rapid.IntRange(1, 83).Draw(t, "daemons"))
 		for index := range daemons {
-			daemons[index] = exposed{Exposure: NewExposure(share, random.Float64()), rate: random.Float64()}
+			daemons[index] = daemonExposure{Exposure: NewExposure(share, random.Float64()), rate: random.Float64()}
 		}
 		target, all := 0, 0
 		for range rapid.IntRange(1, 4000).Draw(t, "requests") {
--- a/internal/core/rollout/likelihood.go
+++ b/internal/core/rollout/likelihood.go
@@ -23,28 +23,28 @@
 	// disturbedShare is the share of back ends that have any other rate of bad answers, as after a
 	// crash that ended some requests.
 	disturbedShare = 0.01
-	// allFaulty is the probability that more back ends are faulty than are left out.
-	allFaulty = 0.003
+	// maxUndercountProbability is the probability that more back ends are faulty than are left out.
+	maxUndercountProbability = 0.003
 )
 
 // tally is how many of a number of answers are bad.
 type tally struct{ answers, bad int }
 
-func tallyOf(counts Counts, kind kind) tally {
-	return tally{answers: counts.Total(), bad: kind.of(counts)}
+func tallyOf(counts Counts, by criterion) tally {
+	return tally{answers: counts.Total(), bad: by.countBad(counts)}
 }
 
-func talliesOf(backends []BackendCounts, kind kind) []tally {
+func talliesOf(backends []BackendCounts, by criterion) []tally {
 	tallies := make([]tally, len(backends))
 	for index, each := range backends {
-		tallies[index] = tallyOf(each.Counts, kind)
+		tallies[index] = tallyOf(each.Counts, by)
 	}
 	return tallies
 }
 
-// talliesOfAll adds those that have no answers to a number of back ends.
-func talliesOfAll(backends []BackendCounts, kind kind, count int) []tally {
-	return append(talliesOf(backends, kind), make([]tally, count-len(backends))...)
+// paddedTallies adds those that have no answers to a number of back ends.
+func paddedTallies(backends []BackendCounts, by criterion, count int) []tally {
+	return append(talliesOf(backends, by), make([]tally, count-len(backends))...)
 }
 
 func total(tallies []tally) tally {
@@ -63,45 +63,45 @@
 func logLikelihoodRatio(backends []tally, expected float64, excessRates []float64) float64 {
 	logs := make([]float64, len(excessRates))
 	for _, each := range backends {
-		good := each.logIfGood(expected)
+		good := each.logLikelihoodIfGood(expected)
 		for index, excess := range excessRates {
-			logs[index] += each.logIfBad(expected+excess*(1-expected)) - good
+			logs[index] += each.logLikelihoodIfBad(expected+excess*(1-expected)) - good
 		}
 	}
-	return logMean(logs)
+	return logMeanExp(logs)
 }
 
-// logIfGood is the logarithm of the likelihood of a back end's answers if its version has a rate
+// logLikelihoodIfGood is the logarithm of the likelihood of a back end's answers if its version has a rate
 // up to the highest one, for the rates that fit best.
-func (t tally) logIfGood(highest float64) float64 {
-	sound := math.Log(1-faultyShare-disturbedShare) + t.logAtMost(highest)
-	faulty := math.Log(faultyShare) + t.logAtLeast(faultyRate)
-	disturbed := math.Log(disturbedShare) + t.logAtBest()
-	return logSum(sound, faulty, disturbed)
+func (t tally) logLikelihoodIfGood(highest float64) float64 {
+	sound := math.Log(1-faultyShare-disturbedShare) + t.logLikelihoodAtMost(highest)
+	faulty := math.Log(faultyShare) + t.logLikelihoodAtLeast(faultyRate)
+	disturbed := math.Log(disturbedShare) + t.maxLogLikelihood()
+	return logSumExp(sound, faulty, disturbed)
 }
 
-// logIfBad is the logarithm of the likelihood of a back end's answers if its version has a rate.
+// logLikelihoodIfBad is the logarithm of the likelihood of a back end's answers if its version has a rate.
 // The rate of faulty back ends is not known.
-func (t tally) logIfBad(rate float64) float64 {
-	return logSum(math.Log(1-faultyShare)+t.logAt(rate), math.Log(faultyShare)+t.logAtAny())
+func (t tally) logLikelihoodIfBad(rate float64) float64 {
+	return logSumExp(math.Log(1-faultyShare)+t.logLikelihoodAt(rate), math.Log(faultyShare)+t.marginalLogLikelihood())
 }
 
-// withoutWorst adds up the back ends without the worst ones: so many that more are faulty at once
+// totalWithoutWorst adds up the back ends without the worst ones: so many that more are faulty at once
 // with the probability of allFaulty at most. It is empty where no back end remains.
-func withoutWorst(backends []tally, expected float64) tally {
+func totalWithoutWorst(backends []tally, expected float64) tally {
 	ordered := slices.SortedFunc(slices.Values(backends), func(left, right tally) int {
 		return cmp.Compare(left.excess(expected), right.excess(expected))
 	})
-	return total(ordered[:len(ordered)-faultyAtOnce(len(ordered))])
+	return total(ordered[:len(ordered)-maxFaultyBackends(len(ordered))])
 }
 
-// faultyAtOnce is how many of a number of back ends are faulty at once at most, but for a
+// maxFaultyBackends is how many of a number of back ends are faulty at once at most, but for a
 // probability of allFaulty.
-func faultyAtOnce(backends int) int {
+func maxFaultyBackends(backends int) int {
 	probability := math.Pow(1-faultyShare, float64(backends))
 	more := 1 - probability
 	count := 0
-	for more > allFaulty && count < backends {
+	for more > maxUndercountProbability && count < backends {
 		probability *= float64(backends-count) / float64(count+1) * faultyShare / (1 - faultyShare)
 		more -= probability
 		count++
@@ -109,59 +109,59 @@
 	return count
 }
 
-// logRatioOf is the logarithm of the likelihood ratio of a sequential test of answers of which
+// sequentialLogRatio is the logarithm of the likelihood ratio of a sequential test of answers of which
 // none are of faulty back ends.
-func logRatioOf(answers tally, expected float64, excessRates []float64) float64 {
+func sequentialLogRatio(answers tally, expected float64, excessRates []float64) float64 {
 	logs := make([]float64, len(excessRates))
-	good := answers.logAtMost(expected)
+	good := answers.logLikelihoodAtMost(expected)
 	for index, excess := range excessRates {
-		logs[index] = answers.logAt(expected+excess*(1-expected)) - good
+		logs[index] = answers.logLikelihoodAt(expected+excess*(1-expected)) - good
 	}
-	return logMean(logs)
+	return logMeanExp(logs)
 }
 
 // excess is the number of bad answers beyond the expected ones.
 func (t tally) excess(expected float64) float64 { return float64(t.bad) - expected*float64(t.answers) }
 
-// logAt is the logarithm of the likelihood at a rate.
-func (t tally) logAt(rate float64) float64 {
+// logLikelihoodAt is the logarithm of the likelihood at a rate.
+func (t tally) logLikelihoodAt(rate float64) float64 {
 	return float64(t.bad)*math.Log(rate) + float64(t.answers-t.bad)*math.Log1p(-rate)
 }
 
-// logAtMost is the logarithm of the likelihood at the best fitting rate up to the highest.
-func (t tally) logAtMost(highest float64) float64 {
+// logLikelihoodAtMost is the logarithm of the likelihood at the best fitting rate up to the highest.
+func (t tally) logLikelihoodAtMost(highest float64) float64 {
 	if float64(t.bad) < highest*float64(t.answers) {
-		return t.logAtBest()
+		return t.maxLogLikelihood()
 	}
-	return t.logAt(highest)
+	return t.logLikelihoodAt(highest)
 }
 
-// logAtBest is the logarithm of the likelihood at the best fitting rate.
-func (t tally) logAtBest() float64 {
+// maxLogLikelihood is the logarithm of the likelihood at the best fitting rate.
+func (t tally) maxLogLikelihood() float64 {
 	if t.bad == 0 || t.bad == t.answers {
 		return 0
 	}
-	return t.logAt(float64(t.bad) / float64(t.answers))
+	return t.logLikelihoodAt(float64(t.bad) / float64(t.answers))
 }
 
-// logAtAny is the logarithm of the mean likelihood over all rates, for a rate that is not known.
-func (t tally) logAtAny() float64 {
+// marginalLogLikelihood is the logarithm of the mean likelihood over all rates, for a rate that is not known.
+func (t tally) marginalLogLikelihood() float64 {
 	bad, _ := math.Lgamma(float64(t.bad + 1))
 	good, _ := math.Lgamma(float64(t.answers - t.bad + 1))
 	all, _ := math.Lgamma(float64(t.answers + 2))
 	return bad + good - all
 }
 
-// logAtLeast is the logarithm of the likelihood at the best fitting rate from the lowest up.
-func (t tally) logAtLeast(lowest float64) float64 {
+// logLikelihoodAtLeast is the logarithm of the likelihood at the best fitting rate from the lowest up.
+func (t tally) logLikelihoodAtLeast(lowest float64) float64 {
 	if float64(t.bad) > lowest*float64(t.answers) {
-		return t.logAtBest()
+		return t.maxLogLikelihood()
 	}
-	return t.logAt(lowest)
+	return t.logLikelihoodAt(lowest)
 }
 
-// logSum is the logarithm of the sum of numbers that are given by their logarithms.
-func logSum(logs ...float64) float64 {
+// logSumExp is the logarithm of the sum of numbers that are given by their logarithms.
+func logSumExp(logs ...float64) float64 {
 	largest := slices.Max(logs)
 	total := 0.0
 	for _, each := range logs {
@@ -170,8 +170,8 @@
 	return largest + math.Log(total)
 }
 
-// logMean is the logarithm of the mean of numbers that are given by their logarithms.
-func logMean(logs []float64) float64 { return logSum(logs...) - math.Log(float64(len(logs))) }
+// logMeanExp is the logarithm of the mean of numbers that are given by their logarithms.
+func logMeanExp(logs []float64) float64 { return logSumExp(logs...) - math.Log(float64(len(logs))) }
 
 // soundRate estimates the rate of bad answers of the stable version's sound back ends from a sample
 // of its back ends, as that of all but the worst quarter, one standard error higher. Without it,
--- a/internal/core/rollout/next.go
+++ b/internal/core/rollout/next.go
@@ -33,14 +33,14 @@
 
 // Reasons of stages, as operators read them.
 const (
-	reasonBegun    = "the target gets a small share of the requests"
-	reasonIsStable = "the target is the stable version"
-	reasonEnough   = "the target's answers are as good as the stable version's"
-	reasonDone     = "all requests go to the target, nothing is under way at other back ends"
-	reasonStopped  = "a daemon found the target's answers worse than the stable version's"
-	reasonTooLate  = "the time was over before the order was seen"
-	reasonNoTime   = "the time is over and the target has not shown enough"
-	reasonNobody   = "the time is over and no back end of the target is listed"
+	reasonBegun     = "the target gets a small share of the requests"
+	reasonIsStable  = "the target is the stable version"
+	reasonEnough    = "the target's answers are as good as the stable version's"
+	reasonDone      = "all requests go to the target, nothing is under way at other back ends"
+	reasonStopped   = "a daemon found the target's answers worse than the stable version's"
+	reasonTooLate   = "the time was over before the order was seen"
+	reasonNoTime    = "the time is over and the target has not shown enough"
+	reasonNoBackend = "the time is over and no back end of the target is listed"
 )
 
 // What a shift waits for, as operators read it.
@@ -56,15 +56,15 @@
 // nothing is to be written. Without a quorum no trial becomes a shift: the order could not be completed.
 func Next(facts Facts) (Standing, bool) {
 	standing := facts.Service.Standing
-	next, due := step(facts, standing)
+	next, due := nextWithQuorum(facts, standing)
 	if standing.Stage == StageTrial && next.Stage == StageShift && !facts.Quorum {
 		return standing, false
 	}
 	return next, due
 }
 
-// step is the next standing as if there were a quorum.
-func step(facts Facts, standing Standing) (Standing, bool) {
+// nextWithQuorum is the next standing as if there were a quorum.
+func nextWithQuorum(facts Facts, standing Standing) (Standing, bool) {
 	if facts.Service.Lost {
 		return standing, true
 	}
@@ -72,13 +72,13 @@
 		return firstStanding(facts)
 	}
 	if order := facts.Service.Order; order != nil && order.Number > standing.Order && replaceable(standing) {
-		return begin(facts, *order), true
+		return beginOrder(facts, *order), true
 	}
 	switch standing.Stage {
 	case StageTrial:
-		return nextOfTrial(facts, standing)
+		return advanceTrial(facts, standing)
 	case StageShift:
-		return nextOfShift(facts, standing)
+		return advanceShift(facts, standing)
 	default:
 		return standing, false
 	}
@@ -104,66 +104,66 @@
 	return standing.Stage != StageShift || standing.Target == standing.Stable
 }
 
-// begin is the standing at the begin of an order.
-func begin(facts Facts, order Order) Standing {
+// beginOrder is the standing at the beginOrder of an order.
+func beginOrder(facts Facts, order Order) Standing {
 	begun := facts.Service.Standing
 	begun.Target, begun.Order = order.Target, order.Number
 	begun.BeganAt = facts.Service.OrderSince
 	begun.Deadline = begun.BeganAt + order.Duration
 	switch {
 	case order.Target == begun.Stable:
-		return enter(begun, StageShift, reasonIsStable)
+		return withStage(begun, StageShift, reasonIsStable)
 	case facts.Now >= begun.Deadline:
-		return enter(begun, StageRolledBack, reasonTooLate)
+		return withStage(begun, StageRolledBack, reasonTooLate)
 	default:
-		return enter(begun, StageTrial, reasonBegun)
+		return withStage(begun, StageTrial, reasonBegun)
 	}
 }
 
-func enter(standing Standing, stage Stage, reason string) Standing {
+func withStage(standing Standing, stage Stage, reason string) Standing {
 	standing.Stage, standing.Reason = stage, reason
 	return standing
 }
 
-// nextOfTrial rolls back a target that is bad, or has not shown enough by the deadline. It shifts
+// advanceTrial rolls back a target that is bad, or has not shown enough by the deadline. It shifts
 // as late as the promotion allows: a version that turns bad later has had few requests till then. Few
 // answers show little where most of the trial was forgotten, since all daemons have restarted.
-func nextOfTrial(facts Facts, standing Standing) (Standing, bool) {
+func advanceTrial(facts Facts, standing Standing) (Standing, bool) {
 	if reason, bad := badReason(facts); bad {
-		return enter(standing, StageRolledBack, reason), true
+		return withStage(standing, StageRolledBack, reason), true
 	}
 	listed := facts.Listed[standing.Target] > 0
 	left := standing.Deadline - facts.Now
 	switch {
 	case left <= 0 && !listed:
-		return enter(standing, StageRolledBack, reasonNobody), true
+		return withStage(standing, StageRolledBack, reasonNoBackend), true
 	case left <= 0:
-		return enter(standing, StageRolledBack, reasonNoTime), true
-	case left <= facts.PromotionTime && listed && facts.Verdict.Enough && (facts.Covered || !facts.Verdict.few()):
-		return enter(standing, StageShift, reasonEnough), true
+		return withStage(standing, StageRolledBack, reasonNoTime), true
+	case left <= facts.PromotionTime && listed && facts.Verdict.Enough && (facts.Covered || !facts.Verdict.smallSample()):
+		return withStage(standing, StageShift, reasonEnough), true
 	default:
 		return standing, false
 	}
 }
 
-// nextOfShift completes the order, or rolls it back if its target turns out to be bad or nobody
+// advanceShift completes the order, or rolls it back if its target turns out to be bad or nobody
 // runs it at the deadline. Otherwise it goes on beyond the deadline: requests may be under way at
 // the stable version's back ends, which end as soon as the order is completed.
-func nextOfShift(facts Facts, standing Standing) (Standing, bool) {
+func advanceShift(facts Facts, standing Standing) (Standing, bool) {
 	listed := facts.Listed[standing.Target] > 0
 	if standing.Target != standing.Stable {
 		if reason, bad := badReason(facts); bad {
-			return enter(standing, StageRolledBack, reason), true
+			return withStage(standing, StageRolledBack, reason), true
 		}
 		if !listed && facts.Now >= standing.Deadline {
-			return enter(standing, StageRolledBack, reasonNobody), true
+			return withStage(standing, StageRolledBack, reasonNoBackend), true
 		}
 	}
 	if facts.Waits() != "" {
 		return standing, false
 	}
 	standing.Stable = standing.Target
-	return enter(standing, StageCompleted, reasonDone), true
+	return withStage(standing, StageCompleted, reasonDone), true
 }
 
 // Waits tells why a shift can't be completed yet; empty where it can, and in other stages.
--- a/internal/core/rollout/next_test.go
+++ b/internal/core/rollout/next_test.go
@@ -35,7 +35,7 @@
 	case StageShift:
 		if changes {
 			assert.Assert(t, facts.Verdict.Enough && !facts.Verdict.Bad && !facts.Stopped && before.Stage == StageTrial)
-			assert.Assert(t, facts.Covered || facts.Verdict.Answers >= loneAnswers)
+			assert.Assert(t, facts.Covered || facts.Verdict.Answers >= minSampleAnswers)
 			assert.Assert(t, facts.Now < after.Deadline && after.Deadline-facts.Now <= facts.PromotionTime)
 		}
 	case StageRolledBack:
@@ -64,7 +64,7 @@
 			facts := Facts{
 				Now: now, Service: service, PromotionTime: 4 * time.Second,
 				Listed:  map[identity.SoftwareVersion]int{"v1": rapid.IntRange(0, 2).Draw(t, "v1"), "v2": rapid.IntRange(0, 2).Draw(t, "v2")},
-				Verdict: Verdict{Enough: flag("enough"), Bad: rapid.IntRange(0, 9).Draw(t, "bad") == 0, Reason: "bad", Answers: rapid.IntRange(0, 2*loneAnswers).Draw(t, "answers")},
+				Verdict: Verdict{Enough: flag("enough"), Bad: rapid.IntRange(0, 9).Draw(t, "bad") == 0, Reason: "bad", Answers: rapid.IntRange(0, 2*minSampleAnswers).Draw(t, "answers")},
 				Covered: flag("covered"), Stopped: stopped[service.Standing.Order], Acknowledged: flag("acknowledged"), Quorum: flag("quorum"), Idle: flag("idle"),
 			}
 			next, write := Next(facts)
@@ -90,8 +90,8 @@
 	}
 }
 
-// write plays one step, which is to be written with a stage.
-func write(t *testing.T, facts *Facts, want Stage) {
+// assertWritten plays one step, which is to be written with a stage.
+func assertWritten(t *testing.T, facts *Facts, want Stage) {
 	t.Helper()
 	next, written := Next(*facts)
 	assert.Assert(t, written)
@@ -100,7 +100,7 @@
 	facts.Service.Standing.Row++
 }
 
-func keeps(t *testing.T, facts Facts) {
+func assertNoWrite(t *testing.T, facts Facts) {
 	t.Helper()
 	next, written := Next(facts)
 	assert.Assert(t, !written, "%v", next)
@@ -110,27 +110,27 @@
 func TestGoodVersionIsPromotedLate(t *testing.T) {
 	facts := scenario()
 	facts.Service.Standing = Standing{Service: "chat"}
-	write(t, &facts, StageNone)
+	assertWritten(t, &facts, StageNone)
 	assert.Equal(t, facts.Service.Standing.Stable, identity.SoftwareVersion("v1"))
-	write(t, &facts, StageTrial)
+	assertWritten(t, &facts, StageTrial)
 	assert.Equal(t, facts.Service.Standing.Deadline, 130*time.Second)
 	facts.Now = 125*time.Second - 1
-	keeps(t, facts)
+	assertNoWrite(t, facts)
 	facts.Now = 125 * time.Second
 	facts.Quorum = false
-	keeps(t, facts)
+	assertNoWrite(t, facts)
 	facts.Quorum = true
-	write(t, &facts, StageShift)
+	assertWritten(t, &facts, StageShift)
 	facts.Now = 140 * time.Second
 	for _, missing := range []*bool{&facts.Acknowledged, &facts.Idle, &facts.Quorum} {
 		*missing = false
-		keeps(t, facts)
+		assertNoWrite(t, facts)
 		*missing = true
 	}
-	write(t, &facts, StageCompleted)
+	assertWritten(t, &facts, StageCompleted)
 	assert.Equal(t, facts.Service.Standing.Stable, identity.SoftwareVersion("v2"))
 	facts.Stopped = true
-	keeps(t, facts)
+	assertNoWrite(t, facts)
 }
 
 // TestRollbacks plays what ends an order early, or at its deadline.
@@ -144,22 +144,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			facts := scenario()
-			write(t, &facts, StageTrial)
+			assertWritten(t, &facts, StageTrial)
 			change(&facts)
-			write(t, &facts, StageRolledBack)
+			assertWritten(t, &facts, StageRolledBack)
 			assert.Equal(t, facts.Service.Standing.Stable, identity.SoftwareVersion("v1"))
-			keeps(t, facts)
+			assertNoWrite(t, facts)
 		})
 	}
 	facts := scenario()
 	facts.Now = 130 * time.Second
-	write(t, &facts, StageRolledBack)
+	assertWritten(t, &facts, StageRolledBack)
 	facts = scenario()
-	write(t, &facts, StageTrial)
+	assertWritten(t, &facts, StageTrial)
 	facts.Now = 126 * time.Second
-	write(t, &facts, StageShift)
+	assertWritten(t, &facts, StageShift)
 	facts.Stopped = true
-	write(t, &facts, StageRolledBack)
+	assertWritten(t, &facts, StageRolledBack)
 }
 
 // TestNewerOrders replaces an order in each of its stages.
@@ -169,23 +169,23 @@
 		facts.Service.OrderSince = facts.Now
 	}
 	facts := scenario()
-	write(t, &facts, StageTrial)
+	assertWritten(t, &facts, StageTrial)
 	order(&facts, 8, "v3")
-	write(t, &facts, StageTrial)
+	assertWritten(t, &facts, StageTrial)
 	assert.Equal(t, facts.Service.Standing.Target, identity.SoftwareVersion("v3"))
 	order(&facts, 9, "v1") // back
-	write(t, &facts, StageShift)
-	write(t, &facts, StageCompleted)
+	assertWritten(t, &facts, StageShift)
+	assertWritten(t, &facts, StageCompleted)
 	order(&facts, 10, "v2")
-	write(t, &facts, StageTrial)
+	assertWritten(t, &facts, StageTrial)
 	facts.Now += 26 * time.Second
-	write(t, &facts, StageShift)
+	assertWritten(t, &facts, StageShift)
 	order(&facts, 11, "v1") // waits
 	facts.Idle = false
-	keeps(t, facts)
+	assertNoWrite(t, facts)
 	facts.Idle = true
-	write(t, &facts, StageCompleted)
+	assertWritten(t, &facts, StageCompleted)
 	assert.Equal(t, facts.Service.Standing.Order, uint64(10))
-	write(t, &facts, StageTrial)
+	assertWritten(t, &facts, StageTrial)
 	assert.Equal(t, facts.Service.Standing.Target, identity.SoftwareVersion("v1"))
 }
--- a/internal/core/rollout/pace.go
+++ b/internal/core/rollout/pace.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// paceSamples is the number of a route's last answers that are remembered, 16 bytes each.
-	paceSamples = 64
-	// minimumPaceSamples is the number without which no answer is called slow.
-	minimumPaceSamples = 8
+	// maxSamples is the number of a route's last answers that are remembered, 16 bytes each.
+	maxSamples = 64
+	// minimumSamples is the number without which no answer is called slow.
+	minimumSamples = 8
 	// refitInterval is the number of answers from which on a fit is outdated. Before, it is when
 	// their number has doubled.
 	refitInterval = 32
@@ -19,8 +19,8 @@
 	// factor of 1.3 either way, so that a version that is three times slower takes 2.3 times as
 	// long on its fastest ones.
 	slowFactor = 2.0
-	// slowFactorOfFew is what is added to slowFactor, divided by the number of samples.
-	slowFactorOfFew = 6.0
+	// smallSampleFactor is what is added to slowFactor, divided by the number of samples.
+	smallSampleFactor = 6.0
 	// usualQuantile of the stable version's answers are not slow in any case, with usualMargin as
 	// a factor: a queue at all back ends is no version's fault. Back ends that are faulty by
 	// themselves, 14 in 100, are beyond it, also where chance gives them twice their part.
@@ -40,17 +40,17 @@
 // NewPace; it isn't safe for use by several goroutines. It is to be told of the stable version's
 // answers also where there is no order: with few requests it takes long to know enough. What
 // is expected is only worked out when Slow asks for it.
-type Pace struct{ routes map[string]*routePace }
+type Pace struct{ routes map[string]*routeModel }
 
 // NewPace makes a Pace that has seen no answers, and calls none slow.
-func NewPace() *Pace { return &Pace{routes: map[string]*routePace{}} }
+func NewPace() *Pace { return &Pace{routes: map[string]*routeModel{}} }
 
 // Note takes in when the first byte of an answer of the stable version came, counted from the
 // sending, and the number of tokens that the back end had to read.
 func (p *Pace) Note(route string, took time.Duration, tokens int) {
 	found := p.routes[route]
 	if found == nil {
-		found = &routePace{}
+		found = &routeModel{}
 		p.routes[route] = found
 	}
 	found.note(sample{took: took.Seconds(), tokens: float64(tokens)})
@@ -69,8 +69,8 @@
 // sample is one answer: seconds until the first byte, and tokens.
 type sample struct{ took, tokens float64 }
 
-// routePace is what is known of a route.
-type routePace struct {
+// routeModel is what is known of a route.
+type routeModel struct {
 	samples []sample
 	noted   int
 	// fitted is the number of samples noted at the last fit, zero before the first.
@@ -79,36 +79,36 @@
 	factor float64
 }
 
-func (r *routePace) note(noted sample) {
-	if len(r.samples) < paceSamples {
+func (r *routeModel) note(noted sample) {
+	if len(r.samples) < maxSamples {
 		r.samples = append(r.samples, noted)
 	} else {
-		r.samples[r.noted%paceSamples] = noted
+		r.samples[r.noted%maxSamples] = noted
 	}
 	r.noted++
 }
 
 // refit fits anew where the last fit is outdated. It returns false while too little is known.
-func (r *routePace) refit() bool {
-	if r.noted-r.fitted >= min(max(r.fitted, minimumPaceSamples), refitInterval) {
+func (r *routeModel) refit() bool {
+	if r.noted-r.fitted >= min(max(r.fitted, minimumSamples), refitInterval) {
 		r.fit()
 	}
 	return r.fitted > 0
 }
 
 // fit estimates the line, and from which multiple of it an answer is slow.
-func (r *routePace) fit() {
+func (r *routeModel) fit() {
 	r.fitted = r.noted
 	r.line = fitLine(r.samples)
 	count := float64(len(r.samples))
 	usual := quantile(r.samples, usualQuantile, r.line.ratio)
-	r.factor = max(slowFactor+slowFactorOfFew/count, min(usual*usualMargin, maximumSlowFactor))
+	r.factor = max(slowFactor+smallSampleFactor/count, min(usual*usualMargin, maximumSlowFactor))
 }
 
 // line is an expected time in seconds, linear in tokens, and never below the least one.
-type line struct{ base, perToken, least float64 }
+type line struct{ base, perToken, minimum float64 }
 
-func (l line) at(tokens float64) float64 { return max(l.base+l.perToken*tokens, l.least) }
+func (l line) at(tokens float64) float64 { return max(l.base+l.perToken*tokens, l.minimum) }
 
 func (l line) ratio(of sample) float64 { return of.took / l.at(of.tokens) }
 
@@ -125,7 +125,7 @@
 	for _, candidate := range []line{
 		{base: 1}, {perToken: 1}, through(few, many), through(few, middle), through(middle, many),
 	} {
-		candidate.least = max(quantile(ordered, quickestQuantile, tookOf), time.Microsecond.Seconds())
+		candidate.minimum = max(quantile(ordered, quickestQuantile, tookOf), time.Microsecond.Seconds())
 		candidate = candidate.scaled(ordered)
 		if distance := candidate.distance(ordered); distance < nearest {
 			best, nearest = candidate, distance
@@ -150,9 +150,9 @@
 
 // scaled is the line with half of the samples above it.
 func (l line) scaled(samples []sample) line {
-	unbounded := line{base: l.base, perToken: l.perToken, least: time.Nanosecond.Seconds()}
+	unbounded := line{base: l.base, perToken: l.perToken, minimum: time.Nanosecond.Seconds()}
 	factor := quantile(samples, 0.5, unbounded.ratio)
-	return line{base: l.base * factor, perToken: l.perToken * factor, least: l.least}
+	return line{base: l.base * factor, perToken: l.perToken * factor, minimum: l.minimum}
 }
 
 // distance is the mean of the absolute logarithms of the samples' ratios.
--- a/internal/core/rollout/pace_test.go
+++ b/internal/core/rollout/pace_test.go
@@ -72,7 +72,7 @@
 // TestFewSamplesCallNothingSlow judges by fewer answers than are enough, and by the first ones that are.
 func TestFewSamplesCallNothingSlow(t *testing.T) {
 	pace := NewPace()
-	for range minimumPaceSamples - 1 {
+	for range minimumSamples - 1 {
 		pace.Note("chat", 10*time.Millisecond, 100)
 		assert.Assert(t, !pace.Slow("chat", time.Hour, 100))
 	}
