--- a/internal/core/rollout/backends.go
+++ b/internal/core/rollout/backends.go
@@ -32,11 +32,11 @@
 	return chosen
 }
 
-// StableOf returns the stable version of a service that has no standing yet: of the versions of its
+// ChooseStable returns the stable version of a service that has no standing yet: of the versions of its
 // listed back ends (with their number) that no order targets, the one with the most back ends; of
 // equals the lesser name. Where orders target all of them, it is one of these, since there is no
 // other that could serve. It is empty where nothing is listed.
-func StableOf(listed map[identity.SoftwareVersion]int, targets []identity.SoftwareVersion) identity.SoftwareVersion {
+func ChooseStable(listed map[identity.SoftwareVersion]int, targets []identity.SoftwareVersion) identity.SoftwareVersion {
 	free := maps.Clone(listed)
 	for _, target := range targets {
 		delete(free, target)
--- a/internal/core/rollout/backends_test.go
+++ b/internal/core/rollout/backends_test.go
@@ -41,6 +41,6 @@
 		{versions{"v2": 10, "v1": 10}, nil, "v1"},
 		{versions{"v2": 10}, []identity.SoftwareVersion{"v2"}, "v2"},
 	} {
-		assert.Equal(t, StableOf(each.listed, each.targets), each.want, "%v", each)
+		assert.Equal(t, ChooseStable(each.listed, each.targets), each.want, "%v", each)
 	}
 }
--- a/internal/core/rollout/comparison.go
+++ b/internal/core/rollout/comparison.go
@@ -102,7 +102,7 @@
 func (v Verdict) withinSmallSampleLimit(pooled *Evidence) bool {
 	var worst Counts
 	for _, each := range targetBackends(pooled) {
-		if each.Counts.Spoilt() > worst.Spoilt() {
+		if each.Counts.BadOrSlow() > worst.BadOrSlow() {
 			worst = each.Counts
 		}
 	}
@@ -111,7 +111,7 @@
 	}
 	rest := v.Answers - worst.Total()
 	excused := rest >= minOtherAnswers || float64(v.BadAnswers) <= maxOutlierShare*float64(v.Answers)
-	return excused && float64(v.BadAnswers-worst.Spoilt()) <= smallSampleBadShare*float64(rest)
+	return excused && float64(v.BadAnswers-worst.BadOrSlow()) <= smallSampleBadShare*float64(rest)
 }
 
 // comparison is one test: the target's answers by back end against a rate that is expected.
@@ -314,7 +314,7 @@
 func hasSoundBackend(pooled *Evidence) bool {
 	backends := targetBackends(pooled)
 	return len(backends) == 0 || slices.ContainsFunc(backends, func(each BackendCounts) bool {
-		return int(each.Counts.Good) > each.Counts.Spoilt()
+		return int(each.Counts.Good) > each.Counts.BadOrSlow()
 	})
 }
 
--- a/internal/core/rollout/evidence.go
+++ b/internal/core/rollout/evidence.go
@@ -33,8 +33,8 @@
 // Total is the number of all answers.
 func (c Counts) Total() int { return int(c.Good) + int(c.Bad) + int(c.Slow) }
 
-// Spoilt is the number of answers that were bad or slow.
-func (c Counts) Spoilt() int { return int(c.Bad) + int(c.Slow) }
+// BadOrSlow is the number of answers that were bad or slow.
+func (c Counts) BadOrSlow() int { return int(c.Bad) + int(c.Slow) }
 
 func (c *Counts) note(result Result) {
 	switch result {
@@ -57,9 +57,9 @@
 	c.Slow += other.Slow
 }
 
-// Renew takes in counts that the same daemon has told later or earlier. Since they only grow, the
+// MergeCumulative takes in counts that the same daemon has told later or earlier. Since they only grow, the
 // highest of each hold: they may come in parts, twice and late.
-func (e *Evidence) Renew(told Evidence) {
+func (e *Evidence) MergeCumulative(told Evidence) {
 	for _, theirs := range told.Routes {
 		route := e.findOrAddRoute(theirs.Route)
 		route.Stable.raiseTo(theirs.Stable)
@@ -174,7 +174,7 @@
 func (e *Evidence) badAnswers() int {
 	bad := 0
 	for _, route := range e.Routes {
-		bad += route.TargetCounts().Spoilt()
+		bad += route.TargetCounts().BadOrSlow()
 	}
 	return bad
 }
--- a/internal/core/rollout/evidence_test.go
+++ b/internal/core/rollout/evidence_test.go
@@ -70,10 +70,10 @@
 		}
 		for _, part := range rapid.SliceOf(rapid.IntRange(0, max(len(told)-1, 0))).Draw(t, "order") {
 			if part < len(told) {
-				known.Renew(told[part])
+				known.MergeCumulative(told[part])
 			}
 		}
-		known.Renew(latest)
+		known.MergeCumulative(latest)
 		byRoute := func(left, right RouteEvidence) int { return cmp.Compare(left.Route, right.Route) }
 		slices.SortFunc(known.Routes, byRoute)
 		slices.SortFunc(latest.Routes, byRoute)
@@ -110,7 +110,7 @@
 func BenchmarkRequest(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 1))
 	routes := []string{"/v1/chat/completions", "/v1/completions", "/v1/embeddings"}
-	exposure, pace, evidence := NewExposure(0.1, 0.5), NewPace(), Evidence{}
+	exposure, pace, evidence := NewExposure(0.1, 0.5), NewLatencyModel(), Evidence{}
 	for number := range b.N {
 		route, tokens := routes[number%len(routes)], random.IntN(2000)
 		took := time.Duration(20+tokens/10) * time.Millisecond
--- a/internal/core/rollout/next.go
+++ b/internal/core/rollout/next.go
@@ -93,7 +93,7 @@
 		first.Service = cmp.Or(first.Service, order.Service)
 		targets = append(targets, order.Target)
 	}
-	first.Stable = cmp.Or(first.Stable, StableOf(facts.Listed, targets))
+	first.Stable = cmp.Or(first.Stable, ChooseStable(facts.Listed, targets))
 	return first, first.Stable != "" && first.Service != ""
 }
 
@@ -159,15 +159,15 @@
 			return withStage(standing, StageRolledBack, reasonNoBackend), true
 		}
 	}
-	if facts.Waits() != "" {
+	if facts.WaitReason() != "" {
 		return standing, false
 	}
 	standing.Stable = standing.Target
 	return withStage(standing, StageCompleted, reasonDone), true
 }
 
-// Waits tells why a shift can't be completed yet; empty where it can, and in other stages.
-func (f Facts) Waits() string {
+// WaitReason tells why a shift can't be completed yet; empty where it can, and in other stages.
+func (f Facts) WaitReason() string {
 	if f.Service.Standing.Stage != StageShift {
 		return ""
 	}
--- a/internal/core/rollout/pace.go
+++ b/internal/core/rollout/pace.go
@@ -35,19 +35,19 @@
 	minimumDelay = 5 * time.Millisecond
 )
 
-// Pace tells slow first bytes by comparison with those of the stable version on the same route:
+// LatencyModel tells slow first bytes by comparison with those of the stable version on the same route:
 // the time is expected to be linear in the tokens that the back end has to read. Make it with
 // NewPace; it isn't safe for use by several goroutines. It is to be told of the stable version's
 // answers also where there is no order: with few requests it takes long to know enough. What
 // is expected is only worked out when Slow asks for it.
-type Pace struct{ routes map[string]*routeModel }
+type LatencyModel struct{ routes map[string]*routeModel }
 
-// NewPace makes a Pace that has seen no answers, and calls none slow.
-func NewPace() *Pace { return &Pace{routes: map[string]*routeModel{}} }
+// NewLatencyModel makes a Pace that has seen no answers, and calls none slow.
+func NewLatencyModel() *LatencyModel { return &LatencyModel{routes: map[string]*routeModel{}} }
 
 // Note takes in when the first byte of an answer of the stable version came, counted from the
 // sending, and the number of tokens that the back end had to read.
-func (p *Pace) Note(route string, took time.Duration, tokens int) {
+func (p *LatencyModel) Note(route string, took time.Duration, tokens int) {
 	found := p.routes[route]
 	if found == nil {
 		found = &routeModel{}
@@ -57,7 +57,7 @@
 }
 
 // Slow tells whether a first byte came late.
-func (p *Pace) Slow(route string, took time.Duration, tokens int) bool {
+func (p *LatencyModel) Slow(route string, took time.Duration, tokens int) bool {
 	found := p.routes[route]
 	if found == nil || !found.refit() {
 		return false
--- a/internal/core/rollout/pace_test.go
+++ b/internal/core/rollout/pace_test.go
@@ -45,7 +45,7 @@
 		const daemons, judged = 8, 100
 		good, bad := 0.0, 0.0
 		for range daemons {
-			pace := NewPace()
+			pace := NewLatencyModel()
 			for range rapid.IntRange(32, 200).Draw(t, "answers") {
 				took, tokens := drawn.draw(1)
 				pace.Note("chat", took, tokens)
@@ -59,7 +59,7 @@
 }
 
 // slow is the share of answers that a daemon calls slow.
-func (f firstBytes) slow(pace *Pace, slower float64, judged int) float64 {
+func (f firstBytes) slow(pace *LatencyModel, slower float64, judged int) float64 {
 	count := 0
 	for range judged {
 		if took, tokens := f.draw(slower); pace.Slow("chat", took, tokens) {
@@ -71,7 +71,7 @@
 
 // TestFewSamplesCallNothingSlow judges by fewer answers than are enough, and by the first ones that are.
 func TestFewSamplesCallNothingSlow(t *testing.T) {
-	pace := NewPace()
+	pace := NewLatencyModel()
 	for range minimumSamples - 1 {
 		pace.Note("chat", 10*time.Millisecond, 100)
 		assert.Assert(t, !pace.Slow("chat", time.Hour, 100))
@@ -84,7 +84,7 @@
 
 // TestPaceFollows lets all back ends become slower, and few milliseconds count for nothing.
 func TestPaceFollows(t *testing.T) {
-	pace := NewPace()
+	pace := NewLatencyModel()
 	for range 100 {
 		pace.Note("chat", time.Millisecond, 0)
 	}
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -60,9 +60,9 @@
 	Row uint64
 }
 
-// FurtherThan tells whether a standing is further than another one of the same service: of a later order, or of a later
+// Supersedes tells whether a standing is further than another one of the same service: of a later order, or of a later
 // stage of the same one.
-func (s Standing) FurtherThan(other Standing) bool {
+func (s Standing) Supersedes(other Standing) bool {
 	return s.Order > other.Order || (s.Order == other.Order && s.Stage.rank() > other.Stage.rank())
 }
 
@@ -93,8 +93,8 @@
 	Stored uint64
 }
 
-// Over is the position of the row that the next standing replaces; zero is none.
-func (s Service) Over() uint64 {
+// ReplacedRow is the position of the row that the next standing replaces; zero is none.
+func (s Service) ReplacedRow() uint64 {
 	if s.Lost {
 		return s.Stored
 	}
--- a/internal/directory/softwarereturn_test.go
+++ b/internal/directory/softwarereturn_test.go
@@ -125,7 +125,7 @@
 	default:
 		return
 	}
-	written, done := s.put(next, known.Over())
+	written, done := s.put(next, known.ReplacedRow())
 	if !done {
 		return
 	}
--- a/internal/directory/standings.go
+++ b/internal/directory/standings.go
@@ -19,8 +19,8 @@
 
 // follow keeps a standing that is further than the known one, or the same one in a later row.
 func (k *keptStanding) follow(told rollout.Standing) {
-	again := !k.FurtherThan(told) && told.Row > k.Row
-	if k.Service == "" || told.FurtherThan(k.Standing) || again {
+	again := !k.Supersedes(told) && told.Row > k.Row
+	if k.Service == "" || told.Supersedes(k.Standing) || again {
 		k.Standing, k.changed = told, false
 	}
 }
--- a/internal/rollout/collector.go
+++ b/internal/rollout/collector.go
@@ -125,7 +125,7 @@
 		counted = &rollout.Evidence{}
 		c.evidence[key] = counted
 	}
-	counted.Renew(rollout.Evidence{Routes: got.Routes, StableSample: got.Sample})
+	counted.MergeCumulative(rollout.Evidence{Routes: got.Routes, StableSample: got.Sample})
 	c.changed = c.changed || len(got.Routes) > 0
 }
 
--- a/internal/rollout/driver.go
+++ b/internal/rollout/driver.go
@@ -75,12 +75,12 @@
 	}
 	facts, counted := c.facts(ctx, now, storeTime, believed)
 	next, due := rollout.Next(facts)
-	c.noteWaiting(believed, counted, facts.Waits())
+	c.noteWaiting(believed, counted, facts.WaitReason())
 	if !due {
 		driver.due = stageDue{}
 		return
 	}
-	wanted := stageDue{row: believed.Over(), order: next.Order, stage: next.Stage}
+	wanted := stageDue{row: believed.ReplacedRow(), order: next.Order, stage: next.Stage}
 	if driver.due != wanted {
 		driver.due, driver.dueSince = wanted, now
 	}
@@ -177,7 +177,7 @@
 
 // write writes a standing, and tells all of it, or of the one that was there before.
 func (c *Coordinator) write(ctx context.Context, next rollout.Standing, facts rollout.Facts, counted progress) {
-	began, over := c.options.Now(), facts.Service.Over()
+	began, over := c.options.Now(), facts.Service.ReplacedRow()
 	bounded, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	written, err := c.put(bounded, next, over)
--- a/internal/rollout/table.go
+++ b/internal/rollout/table.go
@@ -66,7 +66,7 @@
 	target := evidence.TargetCounts()
 	return RouteStatus{
 		Route:      evidence.Route,
-		StableGood: int(evidence.Stable.Good), StableBad: evidence.Stable.Spoilt(),
-		TargetGood: int(target.Good), TargetBad: target.Spoilt(),
+		StableGood: int(evidence.Stable.Good), StableBad: evidence.Stable.BadOrSlow(),
+		TargetGood: int(target.Good), TargetBad: target.BadOrSlow(),
 	}
 }
--- a/internal/rollout/traffic.go
+++ b/internal/rollout/traffic.go
@@ -26,7 +26,7 @@
 	exposure      *rollout.Exposure
 	evidence      rollout.Evidence
 	// pace is of the stable version's answers, with an order or without one.
-	pace *rollout.Pace
+	pace *rollout.LatencyModel
 	// backends are those of the target's listed ones that the trial uses. They are only chosen
 	// anew when the list has changed: of 2,800 that takes 0.5 ms, in which requests wait.
 	listed, backends []uint64
@@ -73,7 +73,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.traffics[service] == nil {
-		c.traffics[service] = &traffic{pace: rollout.NewPace()}
+		c.traffics[service] = &traffic{pace: rollout.NewLatencyModel()}
 	}
 	return c.traffics[service]
 }
@@ -159,7 +159,7 @@
 	if t.fallback != "" && listed[t.fallback] > 0 {
 		return
 	}
-	t.fallback, t.fallbackKnown = rollout.StableOf(listed, targets), len(listed) > 0
+	t.fallback, t.fallbackKnown = rollout.ChooseStable(listed, targets), len(listed) > 0
 }
 
 // remember keeps two earlier counts, for the present share. The caller holds the mutex.
