--- a/internal/core/rollout/backends.go
+++ b/internal/core/rollout/backends.go
@@ -11,13 +11,14 @@
 	"github.com/lotusward/lotusward/internal/core/rendezvous"
 )
 
-// minimumTrialBackends is the number of back ends that a trial takes at least: with fewer, what
-// one back end does can't be told from what the version does.
+// minimumTrialBackends is the smallest number of back ends that a trial uses. With fewer, a faulty back end can't
+// be told from a faulty version.
 const minimumTrialBackends = 3
 
-// TrialBackends returns those of the target's listed back ends (hashes of their IDs) that get the
-// trial's requests: the share of them that the target gets of the requests, so that each has the
-// load that it will have once the target serves alone. All daemons choose the same ones.
+// TrialBackends selects the back ends (hashes of their IDs) of the target that receive the trial's requests.
+// Their share of the listed ones is the target's share of the requests, so that each back end has the load that
+// it will have once the target serves alone. The selection is by rendezvous hashing, so that all daemons select
+// the same ones.
 func TrialBackends(order Order, listed []uint64, share float64) []uint64 {
 	count := max(minimumTrialBackends, int(math.Ceil(share*float64(len(listed)))))
 	members := make([]string, len(listed))
@@ -32,10 +33,10 @@
 	return chosen
 }
 
-// ChooseStable returns the stable version of a service that has no standing yet: of the versions of its
-// listed back ends (with their number) that no order targets, the one with the most back ends; of
-// equals the lesser name. Where orders target all of them, it is one of these, since there is no
-// other that could serve. It is empty where nothing is listed.
+// ChooseStable selects the stable version of a service that has no standing yet, from the number of listed back
+// ends of each version: the version with the most back ends that no order targets, and the lexically smallest of
+// equals. If orders target all listed versions, it selects among these, since no other version could serve. It is
+// empty if nothing is listed.
 func ChooseStable(listed map[identity.SoftwareVersion]int, targets []identity.SoftwareVersion) identity.SoftwareVersion {
 	free := maps.Clone(listed)
 	for _, target := range targets {
@@ -47,7 +48,7 @@
 	return mostListed(listed)
 }
 
-// mostListed is the version with the most back ends. Those that name no version are of none.
+// mostListed returns the version with the most back ends. Back ends without a version aren't counted.
 func mostListed(listed map[identity.SoftwareVersion]int) identity.SoftwareVersion {
 	most, count := identity.SoftwareVersion(""), 0
 	for _, version := range slices.Sorted(maps.Keys(listed)) {
--- a/internal/core/rollout/backends_test.go
+++ b/internal/core/rollout/backends_test.go
@@ -10,7 +10,8 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// TestTrialTakesItsPartOfTheBackEnds asks daemons that list the back ends in any order.
+// TestTrialTakesItsPartOfTheBackEnds checks the number of selected back ends, and that the order of the list has
+// no influence.
 func TestTrialTakesItsPartOfTheBackEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		listed := rapid.SliceOfDistinct(rapid.Uint64(), rapid.ID[uint64]).Draw(t, "listed")
@@ -25,7 +26,7 @@
 	})
 }
 
-// TestStableVersionIsTheOneInUse names the version of services without a standing.
+// TestStableVersionIsTheOneInUse selects the stable version of services without a standing.
 func TestStableVersionIsTheOneInUse(t *testing.T) {
 	type versions = map[identity.SoftwareVersion]int
 	for _, each := range []struct {
--- a/internal/core/rollout/comparison.go
+++ b/internal/core/rollout/comparison.go
@@ -7,82 +7,81 @@
 )
 
 const (
-	// maxFalsePositiveRate is the share of good versions that all tests together may find bad, however
-	// often they are made, if the expected rates are exact. The expected rates are rather high, so
-	// that the measured share is lower: at most 2 of 300 good versions in each kind of trial that
-	// the tests of this package draw. A higher bound gains little: with 0.05 a version that fails
-	// 5 in 100 answers is found after 17 bad answers in the median instead of 18.
+	// maxFalsePositiveRate bounds the share of good versions that all tests together reject, however often they
+	// are repeated, provided that the expected rates are exact. The expected rates are conservative, so that the
+	// measured share is lower: at most 2 of 300 good versions in each kind of trial that the tests of this
+	// package simulate. A higher bound gains little: with 0.05 a version that fails 5 % of its answers is
+	// detected after a median of 17 bad answers instead of 18.
 	maxFalsePositiveRate = 0.03
-	// maxExcessBad is the number of bad answers beyond the expected ones at which the target is bad
-	// in any case, since a version may give 50 bad answers at most. The worst half of the back ends
-	// count for less than they gave, so that the limit is reached at some 35 bad answers.
+	// maxExcessBad is the number of bad answers beyond the expected ones at which the target is rejected
+	// regardless of the likelihood ratios, since a version may give at most 50 bad answers. Bad answers of the
+	// worst half of the back ends are capped, so that the limit is reached at some 35 bad answers.
 	maxExcessBad = 25
-	// minSampleAnswers is the number of the target's answers after which it has no more back ends than
-	// those that have answered: of three, one is without any after 20 answers in 1 of 1,000 trials.
+	// minSampleAnswers is the number of the target's answers from which on all its back ends are assumed to have
+	// answered: of three, one has no answer after 20 in 1 of 1,000 trials.
 	minSampleAnswers = 20
-	// maxPromotionRatio is the likelihood ratio from which a target is not promoted, though it isn't found bad.
+	// maxPromotionRatio is the likelihood ratio from which on a target isn't promoted, though it isn't rejected
+	// either.
 	maxPromotionRatio = 8
-	// windowAnswers is the number of the target's last answers that are also compared by
-	// themselves: at least so many, and at most twice as many. A version that fails 30 in 100
-	// answers shows 12 bad ones of 40.
+	// windowAnswers is the smallest number of the target's most recent answers that are also tested separately;
+	// the window holds at most twice as many. A version that fails 30 % of its answers shows 12 bad ones of 40.
 	windowAnswers = 40
-	// maxRequiredAnswers is the number of the target's answers after which more say little: a version
-	// that fails 5 in 100 has given 7 bad ones by then.
+	// maxRequiredAnswers is the number of the target's answers after which more add little evidence: a version
+	// that fails 5 % of its answers has given 7 bad ones by then.
 	maxRequiredAnswers = 150
-	// requiredShare is the number of the target's answers for each of the stable version's that is
-	// enough where a service has few requests: a quarter of what it may get at a usual exposure of
-	// a tenth. More can't be waited for: after the promotion such a service sends fewer requests
-	// until the deadline than the bound on exposure leaves as slack.
+	// requiredShare is the number of the target's answers that are required for each answer of the stable version
+	// where a service has few requests. It is a quarter of what the target may get at the usual exposure of a
+	// tenth. More isn't required, since after the promotion such a service sends fewer requests until the
+	// deadline than the slack of the exposure bound.
 	requiredShare = 0.02
 	// minStableAnswers (over all routes) and minStableRouteAnswers (on one route) are the numbers of the stable
-	// version's answers below which none of the target are required. At these numbers the target
-	// has 4 and 9 answers on average; by chance it has fewer than required in 1 of 100 and 1 of 500
-	// orders.
+	// version's answers below which no answers of the target are required. At these numbers the target has 4 and
+	// 9 answers on average; by chance it has fewer than required in 1 of 100 and 1 of 500 orders.
 	minStableAnswers, minStableRouteAnswers = 50, 100
-	// Of fewer than smallSampleLimit of the target at most smallSampleBadShare may be bad for a promotion, the
-	// worst back end's left out, which may be faulty by itself. So few can't tell a bad version
-	// from faulty back ends by the tests, and the whole traffic of a service is at stake: where 2
-	// of 3 answers failed, 3 and 6 of them passed in 2 of 50 runs among other faults.
+	// With fewer than smallSampleLimit answers, the target is only promoted if at most smallSampleBadShare of
+	// them are bad. The worst back end is excluded, since it may be faulty itself. The tests can't tell a bad
+	// version from faulty back ends by so few answers, and a promotion exposes the whole traffic of the service:
+	// versions that failed 2 of 3 answers passed with 3 and 6 answers in 2 of 50 runs with other faults.
 	smallSampleLimit, smallSampleBadShare = 50, 0.2
-	// maxExpectedRate bounds the share of bad answers that is expected, and maxUnknownRate does where the stable
-	// version has given fewer than loneAnswers.
+	// maxExpectedRate bounds the expected share of bad answers, and maxUnknownRate bounds it if the stable
+	// version has given fewer than minSampleAnswers.
 	maxExpectedRate, maxUnknownRate = 0.95, 0.25
-	// The worst back end is left out where the others have given at least minOtherAnswers, or where no more than
+	// The worst back end is excluded if the others have given at least minOtherAnswers, or if at most
 	// maxOutlierShare of all answers are bad.
 	minOtherAnswers, maxOutlierShare = 5, 0.25
 )
 
-// Verdict is what the evidence says of the target.
+// Verdict is the result of comparing the target with the stable version.
 type Verdict struct {
-	// Bad: the target is worse than the stable version.
+	// Bad is set if the target is significantly worse than the stable version.
 	Bad bool
-	// Enough: the target has shown enough to be promoted.
+	// Enough is set if the evidence suffices to promote the target.
 	Enough bool
-	// Reason says why, for operators.
+	// Reason explains to operators why the target is bad.
 	Reason string
-	// Answers and BadAnswers are the target's; those that were slow are among the bad ones.
+	// Answers and BadAnswers count the target's answers; slow ones count as bad.
 	Answers, BadAnswers int
 }
 
-// criterion is what answers are counted as bad for. Each has its own tests, since the rates of one criterion
-// would hide the other.
+// criterion is a property by which answers count as bad. Each criterion is tested separately, since the rates of
+// one would mask the other.
 type criterion struct {
 	name     string
 	countBad func(Counts) int
-	// tolerated is the share of bad answers that the target may have beyond the stable version's.
+	// tolerated is how much the target's share of bad answers may exceed the stable version's.
 	tolerated float64
-	// excessRates are the shares of bad answers, beyond the expected one, that a bad version is
-	// tested for.
+	// excessRates are the shares of bad answers in excess of the expected one that form the alternative
+	// hypotheses.
 	excessRates []float64
-	// excessShare is the share of all answers that an excess of bad ones has to be to show anything.
+	// excessShare is the smallest share of all answers at which an excess of bad ones is significant.
 	excessShare float64
 }
 
-// criteria are failed and slow answers. Bad versions fail in 5 of 100 answers or more; the lower rates
-// are those of one that has turned bad after many good answers. A version that is slower is so in
-// most of its answers, while of a good one's first answers some more are slow: its prompt caches
-// are empty, and what is measured is coarse. And once the target gets all requests, a busy moment
-// makes more of its answers slow than the stable version's had been before.
+// criteria are failed and slow answers. Bad versions fail 5 % of their answers or more; the lower rates detect a
+// version that turned bad after many good answers. A slower version is slow in most of its answers, whereas a
+// good version has somewhat more slow answers at first, because its prompt caches are empty and the measurement
+// is coarse. Also, once the target gets all requests, a load peak makes more of its answers slow than the stable
+// version had before.
 var criteria = []criterion{
 	{
 		name: "failed", countBad: func(counts Counts) int { return int(counts.Bad) },
@@ -94,11 +93,11 @@
 	},
 }
 
-// smallSample tells whether there are so smallSample answers that it matters for how long they were collected.
+// smallSample reports whether there are so few answers that the length of their collection matters.
 func (v Verdict) smallSample() bool { return v.Answers < minSampleAnswers }
 
-// withinSmallSampleLimit tells whether few answers of the target hold few bad ones beside those of its worst
-// back end. Of many the tests tell.
+// withinSmallSampleLimit reports whether a small sample of the target's answers holds few bad ones, its worst
+// back end excluded. Larger samples always pass, since the statistical tests cover them.
 func (v Verdict) withinSmallSampleLimit(pooled *Evidence) bool {
 	var worst Counts
 	for _, each := range targetBackends(pooled) {
@@ -114,29 +113,29 @@
 	return excused && float64(v.BadAnswers-worst.BadOrSlow()) <= smallSampleBadShare*float64(rest)
 }
 
-// comparison is one test: the target's answers by back end against a rate that is expected.
+// comparison is one statistical test: the target's answers by back end against an expected rate of bad ones.
 type comparison struct {
 	scope     string
 	criterion criterion
 	expected  float64
-	// backends are all those of the target, also those without answers in this scope.
+	// backends are all back ends of the target, including those without answers in this scope.
 	backends []tally
 }
 
-// Compare judges the target by the evidence of all daemons. It tests failed and slow answers, on
-// each route and over all of them. As counts are cumulative and the tests are sequential, it can be
-// called as often as there is news.
+// Compare tests the target by the pooled evidence of all daemons: failed and slow answers, on each route and over
+// all routes. As the counts are cumulative and the tests are sequential, it can be repeated whenever there is new
+// evidence.
 func Compare(pooled Evidence) Verdict { return evaluate(&pooled, newComparisons(&pooled, &pooled)) }
 
-// Monitor compares as Compare does, and also looks at the last answers alone: a version that turns
-// bad after many good answers shows it sooner in these. The zero value has seen nothing; it isn't
-// safe for use by several goroutines.
+// Monitor compares as Compare does, and also tests the most recent answers separately, which detects a version
+// that turns bad after many good answers sooner. The zero value is ready for use; it isn't safe for concurrent
+// use.
 type Monitor struct {
-	// older and newer are the evidence of two earlier looks, windowAnswers or more apart.
+	// older and newer are snapshots of the evidence of two earlier calls, at least windowAnswers apart.
 	older, newer Evidence
 }
 
-// Compare judges the target by the evidence of all daemons, each call by what is known by then.
+// Compare tests the target by the pooled evidence of all daemons so far.
 func (m *Monitor) Compare(pooled Evidence) Verdict {
 	comparisons := newComparisons(&pooled, &pooled)
 	if len(m.older.Routes) > 0 {
@@ -147,7 +146,7 @@
 	return evaluate(&pooled, comparisons)
 }
 
-// remember keeps a copy of the evidence where enough has come since the last one.
+// remember keeps a snapshot of the evidence if at least windowAnswers were added since the last one.
 func (m *Monitor) remember(pooled *Evidence) {
 	if pooled.targetAnswers()-m.newer.targetAnswers() < windowAnswers {
 		return
@@ -156,7 +155,7 @@
 	m.newer.Merge(*pooled)
 }
 
-// evaluate makes the verdict of the tests.
+// evaluate derives the verdict from the tests.
 func evaluate(pooled *Evidence, comparisons []comparison) Verdict {
 	verdict := Verdict{Answers: pooled.targetAnswers(), BadAnswers: pooled.badAnswers()}
 	limit := math.Log(float64(len(comparisons)) / maxFalsePositiveRate)
@@ -176,7 +175,7 @@
 	return verdict
 }
 
-// newComparisons makes the tests of all kinds and scopes for a part of the pooled evidence.
+// newComparisons creates the tests by all criteria and in all scopes for a part of the pooled evidence.
 func newComparisons(pooled, part *Evidence) []comparison {
 	var made []comparison
 	backends := len(targetBackends(pooled))
@@ -203,7 +202,7 @@
 	})
 }
 
-// targetBackends adds up the target's answers on all routes.
+// targetBackends sums the answers of each of the target's back ends over all routes.
 func targetBackends(part *Evidence) []BackendCounts {
 	var sum []BackendCounts
 	for _, route := range part.Routes {
@@ -212,8 +211,8 @@
 	return sum
 }
 
-// soundRatio is the rate of bad answers of the stable version's sound back ends, as a part of the
-// rate of all of them.
+// soundRatio is the rate of bad answers of the stable version's sound back ends, divided by the rate of all its
+// back ends.
 func soundRatio(pooled *Evidence, by criterion) float64 {
 	stable := Counts{}
 	for _, route := range pooled.Routes {
@@ -222,10 +221,9 @@
 	return min(soundRate(talliesOf(pooled.StableSample, by))/rateOf(tallyOf(stable, by)), 1)
 }
 
-// expectedRate is the highest share of bad answers that the stable version's make likely for a
-// sound back end of the target: a quarter more than that of its own sound ones, one standard
-// error, and what is tolerated. Of a version that has hardly answered nothing is known: it is taken for
-// one that works.
+// expectedRate is the highest share of bad answers that is likely for a sound back end of the target, given the
+// stable version's answers: a quarter more than that of the stable version's sound back ends, plus one standard
+// error and the tolerance. A stable version with hardly any answers is assumed to work.
 func expectedRate(stable tally, sound, tolerated float64) float64 {
 	rate := rateOf(stable)
 	highest := maxExpectedRate
@@ -235,7 +233,8 @@
 	return min((1.25*rate+standardError(rate, stable.answers))*sound+tolerated, highest)
 }
 
-// logRatio is the logarithm of the higher likelihood ratio of both tests.
+// logRatio is the logarithm of the higher likelihood ratio of the two tests: with all back ends, and without the
+// worst ones.
 func (c comparison) logRatio() float64 {
 	if !c.aboveExpected() {
 		return 0
@@ -250,16 +249,16 @@
 	)
 }
 
-// fewBackends tells whether so few back ends have answered that what one of them does is what the version
-// does: with one or two, nothing is left without the faulty ones.
+// fewBackends reports whether the target has so few back ends that a fault of one can't be told from a fault of
+// the version: of one or two, none would be left without the faulty ones.
 func (c comparison) fewBackends() bool { return len(c.backends) < minimumTrialBackends }
 
-// aboveExpected tells whether there are more bad answers than expected at all.
+// aboveExpected reports whether there are more bad answers than expected.
 func (c comparison) aboveExpected() bool { return total(c.backends).excess(c.expected) > 0 }
 
-// exceedsLimit tells whether there are so many bad answers beyond the expected ones that the target
-// is bad whatever the likelihoods are. Of the worst half of the back ends each counts as much as
-// the worst one of the others, since faulty ones have any number.
+// exceedsLimit reports whether there are so many bad answers beyond the expected ones that the target is bad
+// regardless of the likelihood ratios. Each of the worst half of the back ends counts only as much as the worst
+// one of the others, since a faulty back end may have any number of bad answers.
 func (c comparison) exceedsLimit() bool {
 	if len(c.backends) == 0 {
 		return false
@@ -295,7 +294,8 @@
 		all.bad, all.answers, c.criterion.name, c.scope, 100*c.expected)
 }
 
-// hasRequiredAnswers tells whether the target has answered enough on each route, and over all.
+// hasRequiredAnswers reports whether the target has given the required number of answers on each route and in
+// total.
 func hasRequiredAnswers(pooled *Evidence) bool {
 	stable, target := 0, 0
 	for _, route := range pooled.Routes {
@@ -309,8 +309,8 @@
 	return target >= requiredAnswers(stable, minStableAnswers)
 }
 
-// hasSoundBackend tells whether any of the target's back ends gives more good answers than bad ones. Of
-// a few answers that are all bad, the tests can't tell faulty back ends from a faulty version.
+// hasSoundBackend reports whether any of the target's back ends gives more good answers than bad ones. If a few
+// answers are all bad, the tests can't tell faulty back ends from a faulty version.
 func hasSoundBackend(pooled *Evidence) bool {
 	backends := targetBackends(pooled)
 	return len(backends) == 0 || slices.ContainsFunc(backends, func(each BackendCounts) bool {
@@ -318,8 +318,8 @@
 	})
 }
 
-// requiredAnswers is the number of the target's answers that are enough beside a number of the
-// stable version's: none where that number is below few.
+// requiredAnswers is the number of the target's answers that are required for a number of the stable version's
+// answers: none if the stable version has fewer than few.
 func requiredAnswers(stable, few int) int {
 	if stable < few {
 		return 0
--- a/internal/core/rollout/comparison_test.go
+++ b/internal/core/rollout/comparison_test.go
@@ -14,29 +14,30 @@
 
 var draws = flag.Int("rollout.draws", 20, "how often each trial is drawn")
 
-// answersPerLook is the number of all answers between two looks: a fifth of a second at 700 a second.
+// answersPerLook is the number of answers between two comparisons: those of a fifth of a second at 700 a second.
 const answersPerLook = 140
 
 // simulation draws the answers of a service during a trial, as a collector sees them.
 type simulation struct {
 	random        *rand.Rand
 	stable, trial []backend
-	// failed and slow are shares of the answers of sound back ends.
+	// failed and slow are the shares of failed and slow answers of sound back ends.
 	failed, slow float64
-	// version gives the target's own shares, by route and how much of the trial is past.
+	// version returns the shares that the target's version adds, by route and elapsed share of the trial.
 	version func(route int, past float64) (failed, slow float64)
-	// disturb changes the world before an answer.
+	// disturb changes the simulation before an answer.
 	disturb func(w *simulation, past float64)
 }
 
-// backend is a back end with its own faults, as shares of its answers; the next lost ones fail.
+// backend is a back end with its own shares of failed and slow answers; its next lost answers fail.
 type backend struct {
 	key          uint64
 	failed, slow float64
 	lost         int
 }
 
-// newSimulation draws a service with so many back ends in the trial, of which a share is faulty.
+// newSimulation draws a service with a number of back ends in the trial and ten times as many stable ones, of
+// which a share is faulty.
 func newSimulation(seed uint64, trial int, faulty float64) *simulation {
 	random := rand.New(rand.NewPCG(seed, uint64(trial)))
 	return &simulation{
@@ -61,7 +62,7 @@
 	return drawn
 }
 
-// result draws an answer's result, and whether the version made it bad.
+// result draws the result of an answer, and reports whether the version itself made it bad.
 func (w *simulation) result(on *backend, failed, slow float64) (result Result, own bool) {
 	happens := func(share float64) bool { return w.random.Float64() < share }
 	on.lost--
@@ -79,8 +80,8 @@
 	}
 }
 
-// run plays a trial of a number of the target's answers, and returns the last verdict and the
-// number of answers that the version itself had made bad by then.
+// run simulates a trial with a number of the target's answers. It returns the last verdict, and the number of
+// answers that the version itself had made bad by then.
 func (w *simulation) run(answers int) (verdict Verdict, bad int) {
 	daemons, monitor := make([]Evidence, 20), &Monitor{}
 	for sent, all := 0, 0; sent < answers; all++ {
@@ -132,14 +133,14 @@
 	}
 }
 
-// TestBadVersionsAreFound draws versions of each kind, with sound back ends and with faulty ones
-// on both sides. Bad answers count up to the look that found the version; between two looks a
-// version at which most are slow gives nine.
+// TestBadVersionsAreFound checks how many bad answers it takes to reject bad versions of each kind, with and
+// without faulty back ends on both sides. Bad answers are counted up to the comparison that rejects the version;
+// a mostly slow version gives nine between two comparisons.
 func TestBadVersionsAreFound(t *testing.T) {
 	type limits struct {
 		answers, median int
-		// by50 is how many in 100 are found at 50 bad answers at the latest. Of few draws one may
-		// be missing.
+		// by50 is the percentage that is rejected by 50 bad answers at the latest. One miss is allowed in small
+		// samples.
 		by50 int
 	}
 	for name, each := range map[string]struct {
@@ -185,8 +186,8 @@
 	}
 }
 
-// TestGoodVersionsPass draws versions that are as good as the stable one, with all that may happen
-// to either, or by chance only to the target.
+// TestGoodVersionsPass checks that versions as good as the stable one are promoted, under disturbances that
+// affect both versions, or by chance only the target.
 func TestGoodVersionsPass(t *testing.T) {
 	var failed, all atomic.Int64
 	t.Run("draws", func(t *testing.T) {
@@ -230,7 +231,7 @@
 	assert.Assert(t, failed.Load()*100 <= all.Load(), "%d of %d", failed.Load(), all.Load())
 }
 
-// faultyInTrial makes one trial back end of three faulty, or two of eleven, and none of the others.
+// faultyInTrial makes one of three trial back ends faulty, or two of eleven, and none of the others.
 func faultyInTrial(w *simulation, past float64) {
 	if past > 0 {
 		return
@@ -241,7 +242,7 @@
 	}
 }
 
-// crashes ends each back end once in 100,000 answers with five requests under way; another begins.
+// crashes replaces each back end once in 100,000 answers, and fails the five requests in progress.
 func crashes(w *simulation, _ float64) {
 	for _, all := range [][]backend{w.stable, w.trial} {
 		if w.random.Float64() < float64(len(all))/100_000 {
@@ -250,7 +251,7 @@
 	}
 }
 
-// hotKey makes a third of all answers slow for a while.
+// hotKey makes 30 % of all answers slow for a while.
 func hotKey(w *simulation, past float64) {
 	w.slow = 0.01
 	if past > 0.3 && past < 0.5 {
@@ -258,7 +259,7 @@
 	}
 }
 
-// emptyCaches makes some of the target's first answers slow.
+// emptyCaches makes 3 % of the target's first answers slow.
 func emptyCaches(w *simulation, past float64) {
 	if past < 0.1 {
 		w.version = after(0, 0, 0.03)
@@ -267,8 +268,8 @@
 	w.version = after(0, 0, 0)
 }
 
-// weightsAreLoaded makes a fifth of the answers of one back end in ten slow, one after the other:
-// one that loads gets no requests, and comes back with empty caches.
+// weightsAreLoaded makes a fifth of the answers of one back end in ten slow, one after the other: a back end gets
+// no requests while it loads weights, and has empty caches afterwards.
 func weightsAreLoaded(w *simulation, past float64) {
 	for _, all := range [][]backend{w.stable, w.trial} {
 		for index := range all {
@@ -282,9 +283,8 @@
 	}
 }
 
-// TestSmallServices draws a version of which 30 in 100 fail, and a dead one, where the trial has
-// few answers or back ends. The dead one is never promoted; the other one can't be told from a
-// good one by 8 answers of three back ends.
+// TestSmallServices simulates trials with few answers or back ends. A version that fails every answer must never
+// be promoted; one that fails 30 % can't be told from a good one by 8 answers of three back ends.
 func TestSmallServices(t *testing.T) {
 	for _, each := range []struct {
 		failed            float64
@@ -304,7 +304,7 @@
 	}
 }
 
-// TestVerdictSaysWhatWasSeen compares evidence that leaves no doubt.
+// TestVerdictSaysWhatWasSeen checks the verdict and its reason for clear evidence.
 func TestVerdictSaysWhatWasSeen(t *testing.T) {
 	var evidence Evidence
 	assert.Equal(t, Compare(evidence), Verdict{Enough: true})
@@ -321,8 +321,8 @@
 	})
 }
 
-// TestTargetIsWatchedAfterTheTrial lets all requests go to a version that was good under trial: it
-// may be a little slower in a busy moment, but is found where it fails or most answers are slow.
+// TestTargetIsWatchedAfterTheTrial sends all requests to a version that was good under trial. Slightly more slow
+// answers under load must not reject it, but failures or mostly slow answers must.
 func TestTargetIsWatchedAfterTheTrial(t *testing.T) {
 	for _, each := range []struct {
 		failed, slow float64
--- a/internal/core/rollout/evidence.go
+++ b/internal/core/rollout/evidence.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// Result is how a request that was sent to a back end ended, as far as versions are judged.
+// Result is how a request ended at a back end, as it counts for the comparison of versions.
 type Result int
 
-// The results.
+// Results of a request.
 const (
 	ResultGood Result = iota
-	// ResultBad is a failure, a cut or wrong answer.
+	// ResultBad is a failure, or an answer that is truncated or wrong.
 	ResultBad
-	// ResultSlow is a good answer whose first byte came late, by Pace.Slow.
+	// ResultSlow is a good answer whose first byte was late according to LatencyModel.Slow.
 	ResultSlow
 )
 
-// Answer is one ended sending.
+// Answer is the outcome of one request at a back end.
 type Answer struct {
 	Route string
 	// Backend is the hash of the back end's ID (rendezvous.Key).
@@ -25,15 +25,15 @@
 	Result  Result
 }
 
-// Counts are numbers of answers.
+// Counts holds numbers of answers by result.
 type Counts struct {
 	Good, Bad, Slow uint32
 }
 
-// Total is the number of all answers.
+// Total returns the number of all answers.
 func (c Counts) Total() int { return int(c.Good) + int(c.Bad) + int(c.Slow) }
 
-// BadOrSlow is the number of answers that were bad or slow.
+// BadOrSlow returns the number of answers that were bad or slow.
 func (c Counts) BadOrSlow() int { return int(c.Bad) + int(c.Slow) }
 
 func (c *Counts) note(result Result) {
@@ -57,8 +57,8 @@
 	c.Slow += other.Slow
 }
 
-// MergeCumulative takes in counts that the same daemon has told later or earlier. Since they only grow, the
-// highest of each hold: they may come in parts, twice and late.
+// MergeCumulative merges counts that the same daemon has reported earlier or later. Since counts only grow, the
+// maximum of each is kept, so that reports may be partial, duplicated or reordered.
 func (e *Evidence) MergeCumulative(told Evidence) {
 	for _, theirs := range told.Routes {
 		route := e.findOrAddRoute(theirs.Route)
@@ -69,8 +69,8 @@
 	e.trimSample()
 }
 
-// since is what was counted after an earlier time. Of a daemon that has started again since then
-// some of it is missing.
+// since returns the difference from earlier counts. If a daemon has restarted in between, part of what it counted
+// since is missing.
 func (c Counts) since(earlier Counts) Counts {
 	return Counts{
 		Good: c.Good - min(earlier.Good, c.Good),
@@ -79,36 +79,36 @@
 	}
 }
 
-// BackendCounts are the answers of one back end.
+// BackendCounts holds the answers of one back end.
 type BackendCounts struct {
 	// Backend is the hash of the back end's ID.
 	Backend uint64
 	Counts  Counts
 }
 
-// RouteEvidence is what was seen on one route.
+// RouteEvidence holds the answers on one route.
 type RouteEvidence struct {
 	Route  string
 	Stable Counts
-	// Target holds the target's back ends, ordered by Backend.
+	// Target holds the counts of the target's back ends, sorted by Backend.
 	Target []BackendCounts
 }
 
-// stableSampleSize is the number of the stable version's back ends whose answers are counted one
-// by one. With 14 in 100 that are faulty by themselves, more than half of a sample of 12 are
-// sound in 999 of 1,000 samples; it takes some 180 bytes of a report.
+// stableSampleSize is the number of the stable version's back ends whose answers are counted separately. If 14 %
+// of the back ends are faulty, more than half of a sample of 12 are sound in 999 of 1,000 samples; a sample takes
+// some 180 bytes of a report.
 const stableSampleSize = 12
 
-// Evidence is what one daemon has counted since its start for one order, or the sum over several
-// daemons. The zero value is empty. It isn't safe for use by several goroutines.
+// Evidence is what one daemon has counted for one order since it started, or the sum over several daemons. The
+// zero value is empty. It isn't safe for concurrent use.
 type Evidence struct {
 	Routes []RouteEvidence
-	// StableSample counts the answers of few of the stable version's back ends over all routes:
-	// those with the lowest hashes, so that all daemons count the same ones. Ordered by Backend.
+	// StableSample counts the answers of a few of the stable version's back ends over all routes: those with the
+	// lowest hashes, so that all daemons sample the same ones. It is sorted by Backend.
 	StableSample []BackendCounts
 }
 
-// Note counts an answer of the target or else of the stable version.
+// Note counts an answer of the target, or of the stable version if target is false.
 func (e *Evidence) Note(target bool, answer Answer) {
 	route := e.findOrAddRoute(answer.Route)
 	if !target {
@@ -119,7 +119,7 @@
 	findOrAddBackend(&route.Target, answer.Backend).Counts.note(answer.Result)
 }
 
-// noteStableSample counts an answer of the stable version if its back end is among those of the noteStableSample.
+// noteStableSample counts an answer of the stable version if its back end belongs to the sample.
 func (e *Evidence) noteStableSample(answer Answer) {
 	full := len(e.StableSample) >= stableSampleSize
 	if full && answer.Backend > e.StableSample[stableSampleSize-1].Backend {
@@ -133,7 +133,7 @@
 	e.StableSample = e.StableSample[:min(len(e.StableSample), stableSampleSize)]
 }
 
-// Merge adds what another daemon has counted.
+// Merge adds the counts of another daemon.
 func (e *Evidence) Merge(other Evidence) {
 	for _, theirs := range other.Routes {
 		route := e.findOrAddRoute(theirs.Route)
@@ -144,7 +144,7 @@
 	e.trimSample()
 }
 
-// since is what was counted on each route after an earlier time.
+// since returns the difference from earlier evidence on each route.
 func (e *Evidence) since(earlier *Evidence) Evidence {
 	var newer Evidence
 	for _, now := range e.Routes {
@@ -161,7 +161,7 @@
 	return newer
 }
 
-// targetAnswers is the number of the target's answers.
+// targetAnswers returns the number of the target's answers.
 func (e *Evidence) targetAnswers() int {
 	answers := 0
 	for _, route := range e.Routes {
@@ -170,7 +170,7 @@
 	return answers
 }
 
-// badAnswers is the number of those that are bad or slow.
+// badAnswers returns the number of the target's answers that are bad or slow.
 func (e *Evidence) badAnswers() int {
 	bad := 0
 	for _, route := range e.Routes {
@@ -179,7 +179,7 @@
 	return bad
 }
 
-// TargetCounts are the answers of all the target's back ends on the route.
+// TargetCounts sums the answers of the target's back ends on the route.
 func (r *RouteEvidence) TargetCounts() Counts {
 	var sum Counts
 	for _, backend := range r.Target {
@@ -188,7 +188,8 @@
 	return sum
 }
 
-// findOrAddRoute finds or adds a findOrAddRoute. There are few, so that a search costs less than a map.
+// findOrAddRoute returns the evidence of a route, which it adds if needed. With so few routes a linear search
+// costs less than a map.
 func (e *Evidence) findOrAddRoute(name string) *RouteEvidence {
 	for index := range e.Routes {
 		if e.Routes[index].Route == name {
@@ -211,7 +212,7 @@
 	}
 }
 
-// findOrAddBackend finds or adds a back end in an ordered list.
+// findOrAddBackend returns the counts of a back end in a sorted list, which it adds if needed.
 func findOrAddBackend(list *[]BackendCounts, backend uint64) *BackendCounts {
 	index, found := slices.BinarySearchFunc(*list, backend, func(each BackendCounts, wanted uint64) int {
 		return cmp.Compare(each.Backend, wanted)
--- a/internal/core/rollout/evidence_test.go
+++ b/internal/core/rollout/evidence_test.go
@@ -20,8 +20,8 @@
 	}
 })
 
-// TestMergedEvidenceIsThatOfAll spreads answers over daemons, sends their evidence, and compares
-// its sum with that of one daemon that has seen all.
+// TestMergedEvidenceIsThatOfAll spreads answers over daemons, encodes and merges their evidence, and compares the
+// sum with the evidence of a single daemon that saw all answers.
 func TestMergedEvidenceIsThatOfAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := make([]Evidence, 3)
@@ -53,8 +53,8 @@
 	})
 }
 
-// TestRenewedEvidenceIsTheLatest tells one daemon's evidence now and then, in parts that come late,
-// twice, in another order or not at all: with the last one, the latest evidence is known.
+// TestRenewedEvidenceIsTheLatest merges partial reports of one daemon that are delayed, duplicated, reordered or
+// lost. Once the last report has arrived, the merged evidence must equal the latest.
 func TestRenewedEvidenceIsTheLatest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var latest, known Evidence
@@ -81,7 +81,7 @@
 	})
 }
 
-// TestSinceIsWhatCameLater notes answers before and after a copy was taken.
+// TestSinceIsWhatCameLater checks that the difference from a snapshot holds the answers after it.
 func TestSinceIsWhatCameLater(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all, earlier, later Evidence
@@ -104,9 +104,8 @@
 	})
 }
 
-// BenchmarkRequest measures what a request costs while a version is under trial: its credit, the
-// judgement of its first byte and the note of its end. It took 715 ns on a machine with a load of
-// 21 on 12 cores.
+// BenchmarkRequest measures the cost of a request during a trial: taking credit, checking its first byte and
+// counting its result. It took 715 ns on a machine with 12 cores and a load of 21.
 func BenchmarkRequest(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 1))
 	routes := []string{"/v1/chat/completions", "/v1/completions", "/v1/embeddings"}
@@ -129,8 +128,8 @@
 	}
 }
 
-// BenchmarkCompare measures one look at the evidence of a service with 4 routes and 11 back ends in
-// the trial. It took 21 us on a machine with a load of 21 on 12 cores.
+// BenchmarkCompare measures one comparison for a service with 4 routes and 11 back ends in the trial. It took 21
+// us on a machine with 12 cores and a load of 21.
 func BenchmarkCompare(b *testing.B) {
 	drawn := newSimulation(1, 11, 0.14)
 	var pooled Evidence
--- a/internal/core/rollout/exposure_test.go
+++ b/internal/core/rollout/exposure_test.go
@@ -9,15 +9,15 @@
 	"pgregory.net/rapid"
 )
 
-// daemonExposure is one daemon with its own rate of requests and routes.
+// daemonExposure is a daemon with its own request rate.
 type daemonExposure struct {
 	*Exposure
 	rate   float64
 	paused bool
 }
 
-// TestTargetGetsItsShare draws daemons of uneven rates that are paused and restarted at any time:
-// the target never gets more than the share and a slack of 50 requests.
+// TestTargetGetsItsShare draws daemons with uneven request rates that pause and restart at any time: the target
+// must never get more than its share plus a slack of 50 requests.
 func TestTargetGetsItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -47,7 +47,7 @@
 	})
 }
 
-// sendOne sends a request to the target if there is credit. Some find no back end and are returned.
+// sendOne sends a request to the target if there is credit. A quarter of them find no back end and are returned.
 func sendOne(random *rand.Rand, exposure *Exposure, route string) (toTarget bool) {
 	if exposure.TryTake(route) {
 		if random.IntN(4) > 0 {
@@ -59,7 +59,7 @@
 	return false
 }
 
-// TestEachRouteGetsItsPart sends on routes of which one is used ten times as often.
+// TestEachRouteGetsItsPart checks the target's share on two routes, one of which has ten times the requests.
 func TestEachRouteGetsItsPart(t *testing.T) {
 	const daemons, requests = 83, 20_000
 	random := rand.New(rand.NewPCG(1, 1))
@@ -87,7 +87,7 @@
 	}
 }
 
-// TestCreditIsCapped earns for long without use.
+// TestCreditIsCapped accumulates credit without using it.
 func TestCreditIsCapped(t *testing.T) {
 	exposure := NewExposure(0.1, 0.5)
 	for range 10_000 {
--- a/internal/core/rollout/few_test.go
+++ b/internal/core/rollout/few_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFewAnswersThatAreMostlyBadAreNotEnough promotes no version on a handful of answers of which
-// more than a few are bad at several back ends, however few the stable version's are.
+// TestFewAnswersThatAreMostlyBadAreNotEnough checks that a version with a handful of answers isn't promoted if
+// more than a few are bad at several back ends, however few answers the stable version has.
 func TestFewAnswersThatAreMostlyBadAreNotEnough(t *testing.T) {
 	for _, example := range []struct {
 		good, bad int
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestFewGoodAnswersDontExcuseAFailingBackEnd promotes no version whose bad answers are all of one back end while the others
-// have hardly answered.
+// TestFewGoodAnswersDontExcuseAFailingBackEnd checks that a version whose bad answers all come from one back end
+// isn't promoted if the others have hardly answered.
 func TestFewGoodAnswersDontExcuseAFailingBackEnd(t *testing.T) {
 	for _, example := range []struct {
 		bad, good int
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestMostlyBadVersionIsFoundWithoutTheStableOnesAnswers judges a target whose stable version's answers are forgotten, since
-// all daemons restarted after the shift.
+// TestMostlyBadVersionIsFoundWithoutTheStableOnesAnswers tests a target without evidence of the stable version,
+// as after all daemons restarted during the shift.
 func TestMostlyBadVersionIsFoundWithoutTheStableOnesAnswers(t *testing.T) {
 	for _, example := range []struct {
 		answers, bad int
--- a/internal/core/rollout/next.go
+++ b/internal/core/rollout/next.go
@@ -7,31 +7,31 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// Facts are what the next stage of a service's order follows from.
+// Facts are the inputs that determine the next standing of a service.
 type Facts struct {
-	// Now is the time by the store's clock.
+	// Now is the time of the store's clock.
 	Now     time.Duration
 	Service Service
 	// Listed is the number of listed back ends of each version.
 	Listed map[identity.SoftwareVersion]int
-	// Verdict and Stopped are of the standing's order. Stopped: somebody found its target bad.
+	// Verdict and Stopped refer to the standing's order. Stopped is set if any daemon found its target bad.
 	Verdict Verdict
 	Stopped bool
-	// Acknowledged: every daemon that is heard has said that it sends to the target alone and has
-	// nothing under way at others, and those that aren't have been silent for so long that they
-	// send nothing.
+	// Acknowledged is set if every daemon that is heard has reported that it sends to the target alone and has no
+	// requests at back ends of other versions, and all others have been silent for so long that they refuse
+	// requests.
 	Acknowledged bool
-	// Covered: what is known of the standing's order was collected for at least half of its time so far.
+	// Covered is set if the evidence covers at least half of the time since the order began.
 	Covered bool
-	// Quorum: enough daemons are heard to shift requests, and to complete an order.
+	// Quorum is set if enough daemons are heard to shift requests and to complete an order.
 	Quorum bool
-	// Idle: back ends of other versions report nothing under way.
+	// Idle is set if back ends of other versions report no requests in progress.
 	Idle bool
-	// PromotionTime is what it may take at worst from StageShift to StageCompleted.
+	// PromotionTime is the longest time that StageShift may take until StageCompleted.
 	PromotionTime time.Duration
 }
 
-// Reasons of stages, as operators read them.
+// Reasons for entering a stage, as shown to operators.
 const (
 	reasonBegun     = "the target gets a small share of the requests"
 	reasonIsStable  = "the target is the stable version"
@@ -43,7 +43,7 @@
 	reasonNoBackend = "the time is over and no back end of the target is listed"
 )
 
-// What a shift waits for, as operators read it.
+// Conditions that a shift waits for, as shown to operators.
 const (
 	waitsListed       = "no back end of the target is listed"
 	waitsAcknowledged = "a daemon may still send to other versions"
@@ -51,9 +51,9 @@
 	waitsQuorum       = "too few daemons are heard"
 )
 
-// Next decides the next standing of a service: the known one where the store has lost it, the stable
-// version where there is no row yet, else the next stage of the newest order. It returns false where
-// nothing is to be written. Without a quorum no trial becomes a shift: the order could not be completed.
+// Next returns the next standing of a service: the known one if the store has lost it, the stable version if
+// there is no row yet, and otherwise the next stage of the newest order. It returns false if nothing has to be
+// written. Without a quorum no trial becomes a shift, since the order could not be completed.
 func Next(facts Facts) (Standing, bool) {
 	standing := facts.Service.Standing
 	next, due := nextWithQuorum(facts, standing)
@@ -63,7 +63,7 @@
 	return next, due
 }
 
-// nextWithQuorum is the next standing as if there were a quorum.
+// nextWithQuorum returns the next standing on the assumption that there is a quorum.
 func nextWithQuorum(facts Facts, standing Standing) (Standing, bool) {
 	if facts.Service.Lost {
 		return standing, true
@@ -84,8 +84,8 @@
 	}
 }
 
-// firstStanding is the standing of a service that has none, so that its stable version stays the
-// same from then on, whatever is listed.
+// firstStanding returns the first standing of a service. From then on its stable version doesn't depend on what
+// is listed.
 func firstStanding(facts Facts) (Standing, bool) {
 	first := Standing{Service: facts.Service.Standing.Service, Stable: facts.Service.Standing.Stable}
 	var targets []identity.SoftwareVersion
@@ -97,14 +97,14 @@
 	return first, first.Stable != "" && first.Service != ""
 }
 
-// replaceable tells whether a newer order may take the place of the standing's. During a shift it
-// waits for the end: requests are under way at both versions. A shift to the stable version
+// replaceable reports whether a newer order may replace the standing's. An order in the shift stage has to end
+// first, since both versions have requests in progress, unless its target is the stable version: then the shift
 // changes nothing that a newer order would have to wait for.
 func replaceable(standing Standing) bool {
 	return standing.Stage != StageShift || standing.Target == standing.Stable
 }
 
-// beginOrder is the standing at the beginOrder of an order.
+// beginOrder returns the first standing of an order.
 func beginOrder(facts Facts, order Order) Standing {
 	begun := facts.Service.Standing
 	begun.Target, begun.Order = order.Target, order.Number
@@ -125,9 +125,9 @@
 	return standing
 }
 
-// advanceTrial rolls back a target that is bad, or has not shown enough by the deadline. It shifts
-// as late as the promotion allows: a version that turns bad later has had few requests till then. Few
-// answers show little where most of the trial was forgotten, since all daemons have restarted.
+// advanceTrial rolls back a target that is bad, or whose evidence doesn't suffice by the deadline. It shifts as
+// late as the promotion allows, since a version that turns bad late has had few requests until then. A small
+// sample proves little if most of the trial's evidence was lost because all daemons restarted.
 func advanceTrial(facts Facts, standing Standing) (Standing, bool) {
 	if reason, bad := badReason(facts); bad {
 		return withStage(standing, StageRolledBack, reason), true
@@ -146,9 +146,9 @@
 	}
 }
 
-// advanceShift completes the order, or rolls it back if its target turns out to be bad or nobody
-// runs it at the deadline. Otherwise it goes on beyond the deadline: requests may be under way at
-// the stable version's back ends, which end as soon as the order is completed.
+// advanceShift completes the order, or rolls it back if its target turns out to be bad or has no listed back end
+// at the deadline. Otherwise the shift continues beyond the deadline: completing the order ends the stable
+// version's back ends, which may still have requests in progress.
 func advanceShift(facts Facts, standing Standing) (Standing, bool) {
 	listed := facts.Listed[standing.Target] > 0
 	if standing.Target != standing.Stable {
@@ -166,7 +166,8 @@
 	return withStage(standing, StageCompleted, reasonDone), true
 }
 
-// WaitReason tells why a shift can't be completed yet; empty where it can, and in other stages.
+// WaitReason returns the condition that a shift waits for. It is empty if the shift can be completed, and in
+// other stages.
 func (f Facts) WaitReason() string {
 	if f.Service.Standing.Stage != StageShift {
 		return ""
@@ -185,7 +186,7 @@
 	}
 }
 
-// badReason tells whether the target was found bad, and why.
+// badReason reports whether the target was found bad, and why.
 func badReason(facts Facts) (string, bool) {
 	if facts.Verdict.Bad {
 		return facts.Verdict.Reason, true
--- a/internal/core/rollout/next_test.go
+++ b/internal/core/rollout/next_test.go
@@ -10,10 +10,10 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// rank orders the stages of one order.
+// rank orders the stages of one order, independently of Stage.rank.
 var rank = map[Stage]int{StageTrial: 1, StageShift: 2, StageCompleted: 3, StageRolledBack: 3}
 
-// checkStep compares two standings that follow each other, by what must hold whatever happens.
+// checkStep checks the invariants of two consecutive standings.
 func checkStep(t assert.TestingT, facts Facts, before, after Standing) {
 	same := before.Order == after.Order
 	assert.Assert(t, after.Order >= before.Order, "an older order")
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestStagesOnlyGoForward draws orders, facts and readers that know an older order: what is
-// written keeps to the stages, and ended orders stay ended.
+// TestStagesOnlyGoForward draws orders, facts and readers with outdated orders: every written standing must
+// respect the order of stages, and ended orders must stay ended.
 func TestStagesOnlyGoForward(t *testing.T) {
 	versions := rapid.SampledFrom([]identity.SoftwareVersion{"v1", "v2", "v3"})
 	rapid.Check(t, func(t *rapid.T) {
@@ -78,7 +78,7 @@
 	})
 }
 
-// scenario is a service under an order of 30 seconds, with what is found about it.
+// scenario returns the facts of a service with an order of 30 seconds, in which every condition is met.
 func scenario() Facts {
 	return Facts{
 		Service: Service{
@@ -90,7 +90,7 @@
 	}
 }
 
-// assertWritten plays one step, which is to be written with a stage.
+// assertWritten runs one step, which has to write a standing with a stage.
 func assertWritten(t *testing.T, facts *Facts, want Stage) {
 	t.Helper()
 	next, written := Next(*facts)
@@ -106,7 +106,8 @@
 	assert.Assert(t, !written, "%v", next)
 }
 
-// TestGoodVersionIsPromotedLate plays an order from its begin to its end.
+// TestGoodVersionIsPromotedLate follows an order to its completion. The shift must wait until the promotion time
+// before the deadline.
 func TestGoodVersionIsPromotedLate(t *testing.T) {
 	facts := scenario()
 	facts.Service.Standing = Standing{Service: "chat"}
@@ -133,7 +134,7 @@
 	assertNoWrite(t, facts)
 }
 
-// TestRollbacks plays what ends an order early, or at its deadline.
+// TestRollbacks covers everything that ends an order early, or at its deadline.
 func TestRollbacks(t *testing.T) {
 	for name, change := range map[string]func(*Facts){
 		"stopped":        func(facts *Facts) { facts.Stopped = true },
@@ -173,14 +174,14 @@
 	order(&facts, 8, "v3")
 	assertWritten(t, &facts, StageTrial)
 	assert.Equal(t, facts.Service.Standing.Target, identity.SoftwareVersion("v3"))
-	order(&facts, 9, "v1") // back
+	order(&facts, 9, "v1") // back to the stable version
 	assertWritten(t, &facts, StageShift)
 	assertWritten(t, &facts, StageCompleted)
 	order(&facts, 10, "v2")
 	assertWritten(t, &facts, StageTrial)
 	facts.Now += 26 * time.Second
 	assertWritten(t, &facts, StageShift)
-	order(&facts, 11, "v1") // waits
+	order(&facts, 11, "v1") // waits until the shift has ended
 	facts.Idle = false
 	assertNoWrite(t, facts)
 	facts.Idle = true
--- a/internal/core/rollout/pace.go
+++ b/internal/core/rollout/pace.go
@@ -8,45 +8,45 @@
 )
 
 const (
-	// maxSamples is the number of a route's last answers that are remembered, 16 bytes each.
+	// maxSamples is the number of a route's most recent answers that are kept, 16 bytes each.
 	maxSamples = 64
-	// minimumSamples is the number without which no answer is called slow.
+	// minimumSamples is the number of samples below which no answer counts as slow.
 	minimumSamples = 8
-	// refitInterval is the number of answers from which on a fit is outdated. Before, it is when
-	// their number has doubled.
+	// refitInterval is the number of new answers after which the model is fitted again. While there are fewer, it
+	// is fitted again when their number has doubled.
 	refitInterval = 32
-	// slowFactor is how many times the expected time makes an answer slow. Back ends differ by a
-	// factor of 1.3 either way, so that a version that is three times slower takes 2.3 times as
-	// long on its fastest ones.
+	// slowFactor is the multiple of the expected time from which on an answer is slow. Back ends differ by a
+	// factor of 1.3 either way, so that a version that is three times slower takes 2.3 times as long on its
+	// fastest ones.
 	slowFactor = 2.0
-	// smallSampleFactor is what is added to slowFactor, divided by the number of samples.
+	// smallSampleFactor, divided by the number of samples, is added to slowFactor.
 	smallSampleFactor = 6.0
-	// usualQuantile of the stable version's answers are not slow in any case, with usualMargin as
-	// a factor: a queue at all back ends is no version's fault. Back ends that are faulty by
-	// themselves, 14 in 100, are beyond it, also where chance gives them twice their part.
+	// The quantile usualQuantile of the stable version's answers, multiplied by usualMargin, never counts as
+	// slow, since a queue at all back ends isn't the fault of a version. The 14 % of back ends that are faulty
+	// regardless of their version lie beyond the quantile, even if chance doubles their share.
 	usualQuantile, usualMargin = 0.7, 1.4
-	// maximumSlowFactor is the highest factor that follows from these. Where more of the stable
-	// version's answers take longer, some of them are called slow, as are the target's.
+	// maximumSlowFactor bounds the factor that results from these. If more of the stable version's answers take
+	// longer, some of them count as slow, as do the target's.
 	maximumSlowFactor = 2.4
-	// quickestQuantile of the stable version's answers is the least that is ever expected.
+	// quickestQuantile is the quantile of the stable version's answers below which the expected time never falls.
 	quickestQuantile = 0.1
-	// minimumDelay is the time by which an answer is late at least, beyond what is expected:
-	// scheduling on a busy machine takes some milliseconds.
+	// minimumDelay is the smallest delay beyond the expected time that makes an answer slow: scheduling on a busy
+	// machine takes some milliseconds.
 	minimumDelay = 5 * time.Millisecond
 )
 
-// LatencyModel tells slow first bytes by comparison with those of the stable version on the same route:
-// the time is expected to be linear in the tokens that the back end has to read. Make it with
-// NewPace; it isn't safe for use by several goroutines. It is to be told of the stable version's
-// answers also where there is no order: with few requests it takes long to know enough. What
-// is expected is only worked out when Slow asks for it.
+// LatencyModel detects slow first bytes by comparison with those of the stable version on the same route. The
+// expected time is linear in the number of tokens that the back end has to read. The model has to be fed with the
+// stable version's answers even while there is no order, since a service with few requests takes long to provide
+// enough samples. It is only fitted when Slow is called. Make it with NewLatencyModel; it isn't safe for
+// concurrent use.
 type LatencyModel struct{ routes map[string]*routeModel }
 
-// NewLatencyModel makes a Pace that has seen no answers, and calls none slow.
+// NewLatencyModel makes a LatencyModel without samples, which reports no answer as slow.
 func NewLatencyModel() *LatencyModel { return &LatencyModel{routes: map[string]*routeModel{}} }
 
-// Note takes in when the first byte of an answer of the stable version came, counted from the
-// sending, and the number of tokens that the back end had to read.
+// Note adds an answer of the stable version: the time from the sending to its first byte, and the number of
+// tokens that the back end had to read.
 func (p *LatencyModel) Note(route string, took time.Duration, tokens int) {
 	found := p.routes[route]
 	if found == nil {
@@ -56,7 +56,7 @@
 	found.note(sample{took: took.Seconds(), tokens: float64(tokens)})
 }
 
-// Slow tells whether a first byte came late.
+// Slow reports whether a first byte came late.
 func (p *LatencyModel) Slow(route string, took time.Duration, tokens int) bool {
 	found := p.routes[route]
 	if found == nil || !found.refit() {
@@ -66,14 +66,14 @@
 	return took.Seconds() > max(expected*found.factor, expected+minimumDelay.Seconds())
 }
 
-// sample is one answer: seconds until the first byte, and tokens.
+// sample is one answer: the seconds until its first byte, and its tokens.
 type sample struct{ took, tokens float64 }
 
-// routeModel is what is known of a route.
+// routeModel holds the recent samples of a route, and the model that was fitted to them.
 type routeModel struct {
 	samples []sample
 	noted   int
-	// fitted is the number of samples noted at the last fit, zero before the first.
+	// fitted is the value of noted at the last fit, and zero before the first.
 	fitted int
 	line   line
 	factor float64
@@ -88,7 +88,7 @@
 	r.noted++
 }
 
-// refit fits anew where the last fit is outdated. It returns false while too little is known.
+// refit fits the model again if it is outdated. It returns false while there are too few samples.
 func (r *routeModel) refit() bool {
 	if r.noted-r.fitted >= min(max(r.fitted, minimumSamples), refitInterval) {
 		r.fit()
@@ -96,7 +96,7 @@
 	return r.fitted > 0
 }
 
-// fit estimates the line, and from which multiple of it an answer is slow.
+// fit estimates the line, and the multiple of it from which on an answer is slow.
 func (r *routeModel) fit() {
 	r.fitted = r.noted
 	r.line = fitLine(r.samples)
@@ -105,16 +105,16 @@
 	r.factor = max(slowFactor+smallSampleFactor/count, min(usual*usualMargin, maximumSlowFactor))
 }
 
-// line is an expected time in seconds, linear in tokens, and never below the least one.
+// line is an expected time in seconds that is linear in tokens and bounded below by minimum.
 type line struct{ base, perToken, minimum float64 }
 
 func (l line) at(tokens float64) float64 { return max(l.base+l.perToken*tokens, l.minimum) }
 
 func (l line) ratio(of sample) float64 { return of.took / l.at(of.tokens) }
 
-// fitLine chooses the line that is nearest to the samples by the mean of their ratios' logarithms:
-// among a level one, a proportional one, and those through the medians of the thirds with the
-// fewest, the middle and the most tokens. Less than a third of outliers do little to it.
+// fitLine selects the line with the smallest mean absolute log ratio of the samples to it. Candidates are a
+// constant line, a proportional one, and those through the medians of the thirds with the fewest, the middle and
+// the most tokens. Less than a third of outliers have little influence.
 func fitLine(samples []sample) line {
 	ordered := slices.SortedFunc(slices.Values(samples), func(left, right sample) int {
 		return cmp.Compare(left.tokens, right.tokens)
@@ -134,12 +134,12 @@
 	return best
 }
 
-// medianOf is a sample of the median of tokens and of times.
+// medianOf returns a sample with the median of the tokens and the median of the times.
 func medianOf(samples []sample) sample {
 	return sample{took: quantile(samples, 0.5, tookOf), tokens: quantile(samples, 0.5, tokensOf)}
 }
 
-// through is the line through two samples, or a level one if it were to fall.
+// through returns the line through two samples, or a constant one if it would decrease.
 func through(left, right sample) line {
 	if right.tokens <= left.tokens || right.took <= left.took {
 		return line{base: left.took}
@@ -148,14 +148,14 @@
 	return line{base: left.took - perToken*left.tokens, perToken: perToken}
 }
 
-// scaled is the line with half of the samples above it.
+// scaled returns the line, multiplied so that half of the samples lie above it.
 func (l line) scaled(samples []sample) line {
 	unbounded := line{base: l.base, perToken: l.perToken, minimum: time.Nanosecond.Seconds()}
 	factor := quantile(samples, 0.5, unbounded.ratio)
 	return line{base: l.base * factor, perToken: l.perToken * factor, minimum: l.minimum}
 }
 
-// distance is the mean of the absolute logarithms of the samples' ratios.
+// distance returns the mean of the absolute logarithms of the samples' ratios to the line.
 func (l line) distance(samples []sample) float64 {
 	total := 0.0
 	for _, each := range samples {
@@ -167,7 +167,7 @@
 func tookOf(each sample) float64   { return each.took }
 func tokensOf(each sample) float64 { return each.tokens }
 
-// quantile of what a function says of the samples, 0 to 1.
+// quantile returns a quantile (part is 0 to 1) of a function of the samples.
 func quantile(samples []sample, part float64, of func(sample) float64) float64 {
 	values := make([]float64, len(samples))
 	for index, each := range samples {
--- a/internal/core/rollout/pace_test.go
+++ b/internal/core/rollout/pace_test.go
@@ -10,15 +10,15 @@
 	"pgregory.net/rapid"
 )
 
-// firstBytes draws first bytes of a route.
+// firstBytes draws the times to the first byte on a route.
 type firstBytes struct {
 	random         *rand.Rand
 	base, perToken float64 // milliseconds
 	queued, faulty float64 // shares
 }
 
-// draw draws a first byte of back ends that differ by a factor of 1.3 either way. Some answers wait
-// in a queue, and some back ends are faulty and take eight times as long.
+// draw draws the time to the first byte, and the tokens, of an answer. Back ends differ by a factor of 1.3 either
+// way; some answers wait in a queue, and faulty back ends take eight times as long.
 func (f firstBytes) draw(slower float64) (time.Duration, int) {
 	tokens := int(50 * math.Exp(f.random.Float64()*4))
 	took := (f.base + f.perToken*float64(tokens)) * math.Pow(1.3, 2*f.random.Float64()-1) * slower
@@ -31,8 +31,8 @@
 	return time.Duration(took * float64(time.Millisecond)), tokens
 }
 
-// TestSlowFirstBytesAreTold draws routes of any speed, which eight daemons judge: of answers like
-// the stable version's few are called slow, and most of those that take three times as long.
+// TestSlowFirstBytesAreTold draws routes of any speed, of which eight daemons each have their own samples: few
+// answers like the stable version's must count as slow, and most of those that take three times as long.
 func TestSlowFirstBytesAreTold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drawn := firstBytes{
@@ -58,7 +58,7 @@
 	})
 }
 
-// slow is the share of answers that a daemon calls slow.
+// slow returns the share of answers that a daemon's model reports as slow.
 func (f firstBytes) slow(pace *LatencyModel, slower float64, judged int) float64 {
 	count := 0
 	for range judged {
@@ -69,7 +69,8 @@
 	return float64(count) / float64(judged)
 }
 
-// TestFewSamplesCallNothingSlow judges by fewer answers than are enough, and by the first ones that are.
+// TestFewSamplesCallNothingSlow checks that nothing is slow below the minimum number of samples, and that
+// detection works from there on.
 func TestFewSamplesCallNothingSlow(t *testing.T) {
 	pace := NewLatencyModel()
 	for range minimumSamples - 1 {
@@ -82,7 +83,8 @@
 	assert.Assert(t, !pace.Slow("other", time.Hour, 100))
 }
 
-// TestPaceFollows lets all back ends become slower, and few milliseconds count for nothing.
+// TestPaceFollows checks that a few milliseconds never count as slow, and that the model adapts when all back
+// ends become slower.
 func TestPaceFollows(t *testing.T) {
 	pace := NewLatencyModel()
 	for range 100 {
