--- a/cmd/internal/daemon/rollouts.go
+++ b/cmd/internal/daemon/rollouts.go
@@ -25,8 +25,8 @@
 		return
 	}
 	w.rollouts = rollout.New(rollout.Options{
-		Link: w.link, Others: w.members.Others, Count: w.members.Count, Tell: w.tree.Tell, Presence: w.presence,
-		Belief: &rolloutBelief{directory: w.directory}, Backends: w.backends,
+		Link: w.link, Others: w.members.Others, Count: w.members.Count, Broadcast: w.tree.Tell, Presence: w.presence,
+		Directory: &rolloutBelief{directory: w.directory}, Backends: w.backends,
 		Standings: platform.NewStandings(w.store), Reports: w.runners,
 		ExposureShare: bounds.ExposureShare, ConfirmationLimit: softwareConfirmationLimit(bounds),
 		Registerer: registry, Log: w.part("rollout"),
@@ -73,12 +73,12 @@
 	return rows
 }
 
-// rolloutBelief implements rollout.Belief by the directory.
+// rolloutBelief implements rollout.Directory by the directory.
 type rolloutBelief struct{ directory *directory.Directory }
 
-var _ rollout.Belief = (*rolloutBelief)(nil)
+var _ rollout.Directory = (*rolloutBelief)(nil)
 
-// Services implements rollout.Belief.
+// Services implements rollout.Directory.
 func (b *rolloutBelief) Services() []identity.ServiceName {
 	state := b.directory.State()
 	if state == nil {
@@ -91,7 +91,7 @@
 	return names
 }
 
-// Software implements rollout.Belief.
+// Software implements rollout.Directory.
 func (b *rolloutBelief) Software(service identity.ServiceName) corerollout.Service {
 	state := b.directory.State()
 	if state == nil {
@@ -100,23 +100,23 @@
 	return state.Software[service]
 }
 
-// ConfirmedAt implements rollout.Belief.
+// ConfirmedAt implements rollout.Directory.
 func (b *rolloutBelief) ConfirmedAt() time.Time { return b.directory.ConfirmedAt() }
 
-// StoreClock implements rollout.Belief.
+// StoreClock implements rollout.Directory.
 func (b *rolloutBelief) StoreClock(now time.Time) (time.Duration, bool) {
 	return b.directory.StoreClock(now)
 }
 
-// Learn implements rollout.Belief.
+// Learn implements rollout.Directory.
 func (b *rolloutBelief) Learn(ctx context.Context, standing corerollout.Standing) {
 	b.directory.LearnStanding(ctx, standing)
 }
 
-// Reads implements rollout.Belief.
+// Reads implements rollout.Directory.
 func (b *rolloutBelief) Reads() bool { return b.directory.ReadsForAll() }
 
-// LongestTimeout implements rollout.Belief.
+// LongestTimeout implements rollout.Directory.
 func (b *rolloutBelief) LongestTimeout(service identity.ServiceName) time.Duration {
 	state := b.directory.State()
 	if state == nil {
--- a/internal/rollout/choice.go
+++ b/internal/rollout/choice.go
@@ -13,8 +13,8 @@
 
 // Choose implements relay.Versions.
 func (c *Coordinator) Choose(service identity.ServiceName, route string, first bool) relay.VersionChoice {
-	confirmed := c.options.Belief.ConfirmedAt() // before what it confirms is looked up
-	believed := c.options.Belief.Software(service)
+	confirmed := c.options.Directory.ConfirmedAt() // before what it confirms is looked up
+	believed := c.options.Directory.Software(service)
 	standing := believed.Standing
 	choice := relay.VersionChoice{
 		Service: service, Route: route, Order: standing.Order, Row: standing.Row, Stage: standing.Stage,
@@ -83,8 +83,8 @@
 
 // Stands implements relay.Versions.
 func (c *Coordinator) Stands(choice relay.VersionChoice) bool {
-	confirmed := c.options.Belief.ConfirmedAt() // before what it confirms is looked up
-	believed := c.options.Belief.Software(choice.Service)
+	confirmed := c.options.Directory.ConfirmedAt() // before what it confirms is looked up
+	believed := c.options.Directory.Software(choice.Service)
 	now, shared := c.options.Now(), c.traffic(choice.Service)
 	if believed.Standing.Row != choice.Row || c.refuses(now, confirmed, believed, shared) {
 		return false
--- a/internal/rollout/choice_test.go
+++ b/internal/rollout/choice_test.go
@@ -66,7 +66,7 @@
 	}}}
 	lone := New(Options{
 		Link: peerlinktest.NewNetwork(1).Add("10.0.0.1:1"), Others: func() []string { return nil }, Count: func() int { return 1 },
-		Tell: func(peerlink.Kind, any) {}, Presence: presence.New(), Belief: belief, Backends: belief,
+		Broadcast: func(peerlink.Kind, any) {}, Presence: presence.New(), Directory: belief, Backends: belief,
 		ExposureShare: testShare, ConfirmationLimit: time.Hour, Log: logging.Discard(),
 	})
 	lone.synchronize(clock.Now(), testService, belief.service)
--- a/internal/rollout/collector.go
+++ b/internal/rollout/collector.go
@@ -77,7 +77,7 @@
 // collect takes in a report and answers it.
 func (c *Coordinator) collect(now time.Time, from string, got reportMessage) grantMessage {
 	answer := grantMessage{Service: got.Service, Order: got.Order, Number: got.Number}
-	standing := c.options.Belief.Software(got.Service).Standing
+	standing := c.options.Directory.Software(got.Service).Standing
 	if standing.Row > got.Row {
 		answer.Standing = &standing
 	}
--- a/internal/rollout/coordinator.go
+++ b/internal/rollout/coordinator.go
@@ -67,8 +67,8 @@
 
 var _ Backends = (*backendpool.Pool)(nil)
 
-// Belief is what this daemon believes of services; package directory keeps it.
-type Belief interface {
+// Directory is what this daemon believes of services; package directory keeps it.
+type Directory interface {
 	// Services are the services that there are.
 	Services() []identity.ServiceName
 	// Software is what is believed of a service's versions. It is called for each request.
@@ -94,10 +94,10 @@
 	// and this one until they are known.
 	Others func() []string
 	Count  func() int
-	// Tell tells all other daemons; it must not block.
-	Tell      func(kind peerlink.Kind, body any)
+	// Broadcast tells all other daemons; it must not block.
+	Broadcast func(kind peerlink.Kind, body any)
 	Presence  *presence.List
-	Belief    Belief
+	Directory Directory
 	Backends  Backends
 	Standings Standings
 	Reports   Reports
@@ -209,8 +209,8 @@
 	if idle {
 		c.idleAt = now
 	}
-	for _, service := range c.options.Belief.Services() {
-		believed := c.options.Belief.Software(service)
+	for _, service := range c.options.Directory.Services() {
+		believed := c.options.Directory.Software(service)
 		number, active := underWay(believed)
 		settled := !active && c.traffic(service).settled(believed)
 		if settled && !idle {
--- a/internal/rollout/driver.go
+++ b/internal/rollout/driver.go
@@ -68,7 +68,7 @@
 		return
 	}
 	believed.Standing.Service, believed.Standing.Stable = service, c.stable(service, believed, c.traffic(service))
-	storeTime, known := c.options.Belief.StoreClock(now)
+	storeTime, known := c.options.Directory.StoreClock(now)
 	if !known || !c.membersKnown() {
 		c.noteWaiting(believed, progress{}, waitsKnown)
 		return
@@ -115,7 +115,7 @@
 // known to succeed, then the others by rank. Without one only the reader writes.
 func (c *Coordinator) turn(now time.Time, service identity.ServiceName, believed rollout.Service) (time.Duration, bool) {
 	number, active := underWay(believed)
-	reads := c.options.Belief.Reads()
+	reads := c.options.Directory.Reads()
 	if !active {
 		return 0, reads
 	}
@@ -170,7 +170,7 @@
 // promotionTime is what it takes at worst to complete an order: a daemon is silent, and requests
 // that it sent last for as long as their timeout.
 func (c *Coordinator) promotionTime(believed rollout.Service) time.Duration {
-	worst := c.options.ConfirmationLimit + silenceMargin + c.options.Belief.LongestTimeout(believed.Standing.Service) + writingTime
+	worst := c.options.ConfirmationLimit + silenceMargin + c.options.Directory.LongestTimeout(believed.Standing.Service) + writingTime
 	standing := believed.Standing
 	return min(worst, time.Duration(promotionShare*float64(standing.Deadline-standing.BeganAt)))
 }
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -366,7 +366,7 @@
 	m.Observe(func(from string) { heard.Heard(from, time.Now()) })
 	return Options{
 		Link: m, Others: m.others, Count: func() int { return len(m.fleet.members) }, Presence: heard,
-		Tell: m.tell, Belief: m.belief, Backends: m, Standings: m, Reports: m,
+		Broadcast: m.tell, Directory: m.belief, Backends: m, Standings: m, Reports: m,
 		ExposureShare: testShare, ConfirmationLimit: testLimit, Log: logging.Discard(), Now: time.Now,
 	}
 }
--- a/internal/rollout/heard.go
+++ b/internal/rollout/heard.go
@@ -32,7 +32,7 @@
 // that aren't. Nobody needs to know while what was declared is confirmed.
 func (c *Coordinator) noteHeard(now time.Time) {
 	from := time.Duration(askPresenceShare * float64(c.options.ConfirmationLimit))
-	if now.Sub(c.options.Belief.ConfirmedAt()) < from {
+	if now.Sub(c.options.Directory.ConfirmedAt()) < from {
 		return
 	}
 	others, heard := c.options.Others(), 1
--- a/internal/rollout/idle.go
+++ b/internal/rollout/idle.go
@@ -60,7 +60,7 @@
 // timeoutsPassed tells whether the longest timeout has passed since the last daemon must have
 // refused requests: what was sent before to a back end that doesn't answer has ended then.
 func (c *Coordinator) timeoutsPassed(now time.Time, service identity.ServiceName, found *collector) bool {
-	longest := c.options.ConfirmationLimit + silenceMargin + c.options.Belief.LongestTimeout(service)
+	longest := c.options.ConfirmationLimit + silenceMargin + c.options.Directory.LongestTimeout(service)
 	return now.Sub(found.shiftSince) > longest
 }
 
--- a/internal/rollout/reporter.go
+++ b/internal/rollout/reporter.go
@@ -109,7 +109,7 @@
 	underWay := c.options.Backends.InFlightAtOthers(service, targetOf(believed))
 	message := reportMessage{
 		Service: service, Order: order, Incarnation: c.incarnation,
-		Row: believed.Standing.Row, UnderWay: underWay, Reads: c.options.Belief.Reads(),
+		Row: believed.Standing.Row, UnderWay: underWay, Reads: c.options.Directory.Reads(),
 	}
 	if stop := c.stops[service]; stop != nil && stop.order == order {
 		message.Stopped, message.Reason = true, stop.reason
--- a/internal/rollout/standing.go
+++ b/internal/rollout/standing.go
@@ -10,13 +10,13 @@
 
 // learn takes in a standing that was written, without waiting.
 func (c *Coordinator) learn(ctx context.Context, standing rollout.Standing) {
-	go c.options.Belief.Learn(ctx, standing)
+	go c.options.Directory.Learn(ctx, standing)
 }
 
 // tellStanding tells all daemons of a standing that was written. Who doesn't hear it is told
 // with the answer to its next report.
 func (c *Coordinator) tellStanding(standing rollout.Standing) {
-	c.options.Tell(peerlink.KindVersionStanding, &standingMessage{Standing: standing})
+	c.options.Broadcast(peerlink.KindVersionStanding, &standingMessage{Standing: standing})
 }
 
 // hearStanding takes in a standing that another daemon tells.
--- a/internal/rollout/stop.go
+++ b/internal/rollout/stop.go
@@ -38,7 +38,7 @@
 	}
 	log.Warn("A version is bad. It gets no requests any more.")
 	if source == c.self {
-		c.options.Tell(peerlink.KindVersionStop, &stopMessage{Service: service, Order: order, Reason: reason})
+		c.options.Broadcast(peerlink.KindVersionStop, &stopMessage{Service: service, Order: order, Reason: reason})
 	}
 }
 
--- a/internal/rollout/table.go
+++ b/internal/rollout/table.go
@@ -35,14 +35,14 @@
 func (c *Coordinator) Table() []Status {
 	now := c.options.Now()
 	var table []Status
-	for _, service := range c.options.Belief.Services() {
+	for _, service := range c.options.Directory.Services() {
 		table = append(table, c.status(now, service))
 	}
 	return table
 }
 
 func (c *Coordinator) status(now time.Time, service identity.ServiceName) Status {
-	believed := c.options.Belief.Software(service)
+	believed := c.options.Directory.Software(service)
 	standing, shared := believed.Standing, c.traffic(service)
 	stable := c.stable(service, believed, shared)
 	shared.mutex.Lock()
