--- a/internal/rollout/choice.go
+++ b/internal/rollout/choice.go
@@ -13,65 +13,66 @@
 
 // Choose implements relay.Versions.
 func (c *Coordinator) Choose(service identity.ServiceName, route string, first bool) relay.VersionChoice {
-	confirmed := c.options.Directory.ConfirmedAt() // before what it confirms is looked up
-	believed := c.options.Directory.Software(service)
-	standing := believed.Standing
+	confirmed := c.options.Directory.ConfirmedAt() // read before the state that it confirms
+	state := c.options.Directory.Software(service)
+	standing := state.Standing
 	choice := relay.VersionChoice{
 		Service: service, Route: route, Order: standing.Order, Row: standing.Row, Stage: standing.Stage,
 	}
 	now, shared := c.options.Now(), c.traffic(service)
-	if c.refuses(now, confirmed, believed, shared) {
+	if c.refuses(now, confirmed, state, shared) {
 		choice.Refused = true
 		return choice
 	}
 	switch {
 	case standing.Stage == rollout.StageShift:
 		choice.Version = standing.Target
-	case standing.Stage == rollout.StageTrial && first && shared.take(now, &choice):
+	case standing.Stage == rollout.StageTrial && first && shared.tryExpose(now, &choice):
 		choice.Version, choice.Trial = standing.Target, true
 	default:
-		choice.Version = c.stable(service, believed, shared)
+		choice.Version = c.stableVersion(service, state, shared)
 	}
 	if choice.Version == "" {
-		// Without a version any back end will do, but not while one of them may be a target.
-		_, active := underWay(believed)
+		// Without a known version any back end may be used, unless one of them may run a target.
+		_, active := activeOrder(state)
 		choice.Refused, choice.Any = active, !active
 	}
 	return choice
 }
 
-// refuses tells whether no request of a service may be sent now. While an order is under way, the
-// versions that may get requests can change without this daemon's knowing, and once it is completed
-// the old back ends end without a drain. The same can begin unseen for who is cut off from
-// most others. What is believed must have been looked up after the time of its confirmation.
-func (c *Coordinator) refuses(now, confirmed time.Time, believed rollout.Service, shared *traffic) bool {
-	number, active := underWay(believed)
+// refuses reports whether requests of a service must be refused now. While an order is active, the versions that
+// may get requests can change without this daemon's knowledge, and the old back ends end without draining once it
+// is completed. A daemon that is cut off from most others may also miss the beginning of an order. The state must
+// have been read after the time of its confirmation, confirmed.
+func (c *Coordinator) refuses(now, confirmed time.Time, state rollout.Service, shared *traffic) bool {
+	number, active := activeOrder(state)
 	if now.Sub(confirmed) <= c.options.ConfirmationLimit {
-		// A bad version to which all requests go is replaced with the next row.
-		return believed.Standing.Stage == rollout.StageShift && shared.stoppedFor(number)
+		// A bad version that gets all requests is replaced by the next row.
+		return state.Standing.Stage == rollout.StageShift && shared.stoppedFor(number)
 	}
-	return active || (len(c.options.Others()) > 0 && !c.enoughHeard.after(now))
+	return active || (len(c.options.Others()) > 0 && !c.quorumHeardUntil.after(now))
 }
 
-// stable is the stable version of a service; empty where none is known.
-func (c *Coordinator) stable(service identity.ServiceName, believed rollout.Service, shared *traffic) identity.SoftwareVersion {
-	if believed.Standing.Stable != "" {
-		return believed.Standing.Stable
+// stableVersion returns the stable version of a service; it is empty if none is known.
+func (c *Coordinator) stableVersion(service identity.ServiceName, state rollout.Service, shared *traffic) identity.SoftwareVersion {
+	if state.Standing.Stable != "" {
+		return state.Standing.Stable
 	}
 	named := uint64(0)
-	if believed.Order != nil {
-		named = believed.Order.Number
+	if state.Order != nil {
+		named = state.Order.Number
 	}
 	shared.mutex.Lock()
 	defer shared.mutex.Unlock()
 	if !shared.fallbackKnown || shared.fallbackOrder != named {
-		shared.learnFallback(believed, c.options.Backends.SoftwareVersions(service))
+		shared.updateFallback(state, c.options.Backends.SoftwareVersions(service))
 	}
 	return shared.fallback
 }
 
-// take takes the credit for one request to the target of the choice's order.
-func (t *traffic) take(now time.Time, choice *relay.VersionChoice) bool {
+// tryExpose takes the credit for one request to the target under trial. It returns false if the target may not
+// get the request.
+func (t *traffic) tryExpose(now time.Time, choice *relay.VersionChoice) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if !t.exposing(now, choice.Order) || !t.exposure.TryTake(choice.Route) {
@@ -83,16 +84,16 @@
 
 // Stands implements relay.Versions.
 func (c *Coordinator) Stands(choice relay.VersionChoice) bool {
-	confirmed := c.options.Directory.ConfirmedAt() // before what it confirms is looked up
-	believed := c.options.Directory.Software(choice.Service)
+	confirmed := c.options.Directory.ConfirmedAt() // read before the state that it confirms
+	state := c.options.Directory.Software(choice.Service)
 	now, shared := c.options.Now(), c.traffic(choice.Service)
-	if believed.Standing.Row != choice.Row || c.refuses(now, confirmed, believed, shared) {
+	if state.Standing.Row != choice.Row || c.refuses(now, confirmed, state, shared) {
 		return false
 	}
 	switch {
 	case choice.Any:
-		_, active := underWay(believed)
-		return !active && c.stable(choice.Service, believed, shared) == ""
+		_, active := activeOrder(state)
+		return !active && c.stableVersion(choice.Service, state, shared) == ""
 	case choice.Trial:
 		shared.mutex.Lock()
 		defer shared.mutex.Unlock()
@@ -111,11 +112,11 @@
 	if first := shared.noteSent(choice); first {
 		c.options.Log.WithFields(logrus.Fields{
 			"service": choice.Service, "version": choice.Version, "order": choice.Order, "route": choice.Route, "back_ends": len(choice.Backends),
-		}).Info("A version under trial gets its first request from this daemon.")
+		}).Info("Sent the first request of this daemon to the version under trial.")
 	}
 }
 
-// noteSent counts a sending. It returns true at the first one to a target under trial.
+// noteSent counts a request that was sent. It returns true for the first one to a target under trial.
 func (t *traffic) noteSent(choice relay.VersionChoice) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -157,7 +158,7 @@
 	if choice.Stage.Ended() {
 		shared.mutex.Lock()
 		defer shared.mutex.Unlock()
-		shared.notePace(choice.Route, ended)
+		shared.noteLatency(choice.Route, ended)
 		return
 	}
 	if result, tells := shared.noteEnd(choice, ended); tells {
@@ -165,18 +166,18 @@
 	}
 }
 
-// notePace notes how soon the stable version answered. The caller holds the mutex.
-func (t *traffic) notePace(route string, ended relay.SendingEnd) {
+// noteLatency adds the time to the first byte of an answer of the stable version. The caller holds the mutex.
+func (t *traffic) noteLatency(route string, ended relay.SendingEnd) {
 	if ended.Result == backendpool.ResultServed && ended.FirstByte > 0 {
-		t.pace.Note(route, ended.FirstByte, ended.Tokens)
+		t.latency.Note(route, ended.FirstByte, ended.Tokens)
 	}
 }
 
-// noteEnd counts how a sending ended, if that tells about the version.
+// noteEnd counts the result of a request. It returns false if the result says nothing about the version.
 func (t *traffic) noteEnd(choice relay.VersionChoice, ended relay.SendingEnd) (rollout.Result, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.order != choice.Order || t.restating {
+	if t.order != choice.Order || t.targetIsStable {
 		return rollout.ResultGood, false
 	}
 	target := choice.Trial || choice.Stage == rollout.StageShift
@@ -186,15 +187,15 @@
 	}
 	t.evidence.Note(target, rollout.Answer{Route: choice.Route, Backend: ended.Backend, Result: result})
 	if !target {
-		t.notePace(choice.Route, ended)
+		t.noteLatency(choice.Route, ended)
 	}
 	return result, true
 }
 
-// classify says what an end tells about the version; false where it tells nothing. The caller
+// classify derives the result from the end of a request; false if it says nothing about the version. The caller
 // holds the mutex.
 func (t *traffic) classify(route string, ended relay.SendingEnd) (rollout.Result, bool) {
-	slow := ended.FirstByte > 0 && t.pace.Slow(route, ended.FirstByte, ended.Tokens)
+	slow := ended.FirstByte > 0 && t.latency.Slow(route, ended.FirstByte, ended.Tokens)
 	switch {
 	case ended.BackendFailed, ended.Result == backendpool.ResultFailed, ended.Result == backendpool.ResultCut:
 		return rollout.ResultBad, true
--- a/internal/rollout/driver.go
+++ b/internal/rollout/driver.go
@@ -14,38 +14,37 @@
 )
 
 const (
-	// standInTime is how much later than the daemon before it each daemon of the ranking writes a
-	// stage that is due: a call of the store takes a few milliseconds, or half a second and more
-	// while it is slow.
-	standInTime = time.Second
-	// writeTimeout bounds the calls that write one standing, and writeRest is how long nothing is
-	// written after them.
+	// takeoverDelay is how much later than its predecessor in the ranking each daemon writes a stage that is due:
+	// a call of the store takes a few milliseconds, or half a second and more while it is slow.
+	takeoverDelay = time.Second
+	// writeTimeout bounds the calls that write one standing, and writePause is how long nothing is written after
+	// them.
 	writeTimeout = 1200 * time.Millisecond
-	writeRest    = 250 * time.Millisecond
-	// writingTime is how much of a promotion's time is kept for calls of the store.
-	writingTime = 2 * time.Second
-	// promotionShare of an order's time is the most that is kept for the promotion. With long
-	// timeouts of routes it would else leave no time for the trial.
+	writePause   = 250 * time.Millisecond
+	// storeCallTime is the part of a promotion's time that is reserved for calls of the store.
+	storeCallTime = 2 * time.Second
+	// promotionShare bounds the share of an order's duration that is reserved for the promotion. Long timeouts of
+	// routes would otherwise leave no time for the trial.
 	promotionShare = 0.5
 )
 
-// waitsKnown is why nothing is written by a daemon that has just begun.
-const waitsKnown = "the store's clock or the other daemons are not known"
+// waitsClockOrMembers is why a daemon that has just started writes nothing.
+const waitsClockOrMembers = "the store's clock or the other daemons are not known"
 
-// driver writes the stages of a service's orders.
+// driver holds the state for writing the stages of a service's orders.
 type driver struct {
-	// due is the stage that is due, over which row, and since when.
+	// due is the stage that is due and the row that it replaces, and dueSince is since when.
 	due      stageDue
 	dueSince time.Time
 	writing  bool
-	// wrote is the version of the row that was written last, zero after a call that failed.
-	// Nothing more is written until this daemon believes that row, or until restTill.
-	restTill time.Time
-	wrote    uint64
-	failing  bool
-	idleness idleness
-	// waiting is why the order under way can't go on, as was logged last; empty where it can.
-	waiting string
+	// writtenRow is the row that was written last, and zero after a call that failed. Nothing more is written
+	// until this daemon has learned of that row, or until pausedUntil.
+	pausedUntil time.Time
+	writtenRow  uint64
+	failing     bool
+	idleness    idleState
+	// waitReason is the last logged reason why the active order can't proceed; it is empty if it can.
+	waitReason string
 }
 
 type stageDue struct {
@@ -60,27 +59,27 @@
 	return c.drivers[service]
 }
 
-// drive writes the next standing of a service, where one is due and it is this daemon's turn.
-func (c *Coordinator) drive(ctx context.Context, now time.Time, service identity.ServiceName, believed rollout.Service) {
+// advance writes the next standing of a service if one is due and it is this daemon's turn.
+func (c *Coordinator) advance(ctx context.Context, now time.Time, service identity.ServiceName, state rollout.Service) {
 	driver := c.driver(service)
-	turn, mayDrive := c.turn(now, service, believed)
-	if !mayDrive || driver.writing || driver.rests(now, believed.Standing.Row) {
+	turn, mayDrive := c.writeDelay(now, service, state)
+	if !mayDrive || driver.writing || driver.pausing(now, state.Standing.Row) {
 		return
 	}
-	believed.Standing.Service, believed.Standing.Stable = service, c.stable(service, believed, c.traffic(service))
+	state.Standing.Service, state.Standing.Stable = service, c.stableVersion(service, state, c.traffic(service))
 	storeTime, known := c.options.Directory.StoreClock(now)
 	if !known || !c.membersKnown() {
-		c.noteWaiting(believed, progress{}, waitsKnown)
+		c.logWaitReason(state, progress{}, waitsClockOrMembers)
 		return
 	}
-	facts, counted := c.facts(ctx, now, storeTime, believed)
+	facts, counted := c.facts(ctx, now, storeTime, state)
 	next, due := rollout.Next(facts)
-	c.noteWaiting(believed, counted, facts.WaitReason())
+	c.logWaitReason(state, counted, facts.WaitReason())
 	if !due {
 		driver.due = stageDue{}
 		return
 	}
-	wanted := stageDue{row: believed.ReplacedRow(), order: next.Order, stage: next.Stage}
+	wanted := stageDue{row: state.ReplacedRow(), order: next.Order, stage: next.Stage}
 	if driver.due != wanted {
 		driver.due, driver.dueSince = wanted, now
 	}
@@ -91,37 +90,37 @@
 	go c.write(ctx, next, facts, counted)
 }
 
-// noteWaiting logs why the order under way can't go on, where that has changed.
-func (c *Coordinator) noteWaiting(believed rollout.Service, counted progress, reason string) {
-	driver := c.driver(believed.Standing.Service)
-	if _, active := underWay(believed); !active || driver.waiting == reason {
+// logWaitReason logs why the active order can't proceed, if the reason has changed.
+func (c *Coordinator) logWaitReason(state rollout.Service, counted progress, reason string) {
+	driver := c.driver(state.Standing.Service)
+	if _, active := activeOrder(state); !active || driver.waitReason == reason {
 		return
 	}
-	driver.waiting = reason
+	driver.waitReason = reason
 	c.options.Log.WithFields(logrus.Fields{
-		"service": believed.Standing.Service, "order": believed.Standing.Order, "stage": believed.Standing.Stage, "reason": reason,
+		"service": state.Standing.Service, "order": state.Standing.Order, "stage": state.Standing.Stage, "reason": reason,
 		"daemons": counted.daemons, "heard": counted.heard, "acknowledged": counted.acknowledged, "silent": counted.silent, "missing": counted.missing,
-	}).Info("What an order waits for has changed.")
+	}).Info("The wait reason of an order changed.")
 }
 
-// rests tells whether nothing is to be written yet: a call has failed just now, or what was written
-// is not believed yet.
-func (d *driver) rests(now time.Time, believed uint64) bool {
-	return now.Before(d.restTill) && (d.wrote == 0 || believed < d.wrote)
+// pausing reports whether to write nothing yet, because a call has just failed, or because this daemon hasn't
+// learned of the last written row yet.
+func (d *driver) pausing(now time.Time, state uint64) bool {
+	return now.Before(d.pausedUntil) && (d.writtenRow == 0 || state < d.writtenRow)
 }
 
-// turn is after how long this daemon writes a stage that is due; false is never. While an order is
-// under way the collectors write: first the one that reads the store for all, since its calls are
-// known to succeed, then the others by rank. Without one only the reader writes.
-func (c *Coordinator) turn(now time.Time, service identity.ServiceName, believed rollout.Service) (time.Duration, bool) {
-	number, active := underWay(believed)
+// writeDelay returns how long this daemon waits before it writes a stage that is due; false if it doesn't write.
+// While an order is active its collectors write: first the one that reads the store on behalf of all, since its
+// calls are known to succeed, then the others by rank. Without an active order only the reader writes.
+func (c *Coordinator) writeDelay(now time.Time, service identity.ServiceName, state rollout.Service) (time.Duration, bool) {
+	number, active := activeOrder(state)
 	reads := c.options.Directory.Reads()
 	if !active {
 		return 0, reads
 	}
-	found := c.collecting(service, number)
-	judging := !believed.Standing.Stage.Ended()
-	if found == nil || (judging && now.Before(found.trustedFrom)) {
+	found := c.activeCollector(service, number)
+	judging := !state.Standing.Stage.Ended()
+	if found == nil || (judging && now.Before(found.readyAt)) {
 		return 0, false
 	}
 	if reads {
@@ -132,50 +131,50 @@
 	if found.readerHeard(now, ranking) {
 		rank++
 	}
-	return time.Duration(rank) * standInTime, true
+	return time.Duration(rank) * takeoverDelay, true
 }
 
-// readerHeard tells whether one of the collectors reads the store for all.
+// readerHeard reports whether one of the collectors reads the store on behalf of all.
 func (c *collector) readerHeard(now time.Time, ranking []string) bool {
 	return slices.ContainsFunc(ranking, func(address string) bool {
 		last := c.daemons[address]
-		return last != nil && last.reads && now.Sub(last.heardAt) <= heardTime
+		return last != nil && last.reads && now.Sub(last.heardAt) <= maximumReportAge
 	})
 }
 
-// facts returns what the next standing follows from, and how far the daemons have come. During a
-// shift it may begin to ask back ends, see idle.
-func (c *Coordinator) facts(ctx context.Context, now time.Time, storeTime time.Duration, believed rollout.Service) (rollout.Facts, progress) {
-	service := believed.Standing.Service
+// facts returns the inputs for the next standing, and the progress of the daemons. During a shift it may start to
+// query back ends, see idle.
+func (c *Coordinator) facts(ctx context.Context, now time.Time, storeTime time.Duration, state rollout.Service) (rollout.Facts, progress) {
+	service := state.Standing.Service
 	facts := rollout.Facts{
-		Now: storeTime, Service: believed, Listed: c.options.Backends.SoftwareVersions(service),
-		PromotionTime: c.promotionTime(believed),
+		Now: storeTime, Service: state, Listed: c.options.Backends.SoftwareVersions(service),
+		PromotionTime: c.promotionTime(state),
 	}
-	number, active := underWay(believed)
+	number, active := activeOrder(state)
 	if !active {
 		return facts, progress{}
 	}
 	found, stop := c.collectors[service], c.stops[service]
 	facts.Verdict, facts.Stopped = found.verdict, stop != nil && stop.order == number
-	facts.Covered = now.Sub(found.began) >= (storeTime-believed.Standing.BeganAt)/2
-	counted := c.progress(now, believed, found)
+	facts.Covered = now.Sub(found.began) >= (storeTime-state.Standing.BeganAt)/2
+	counted := c.progress(now, state, found)
 	facts.Quorum = counted.quorum()
-	if believed.Standing.Stage == rollout.StageShift {
+	if state.Standing.Stage == rollout.StageShift {
 		facts.Acknowledged = counted.missing == 0
-		facts.Idle = c.idle(ctx, now, believed, found, counted)
+		facts.Idle = c.idle(ctx, now, state, found, counted)
 	}
 	return facts, counted
 }
 
-// promotionTime is what it takes at worst to complete an order: a daemon is silent, and requests
-// that it sent last for as long as their timeout.
-func (c *Coordinator) promotionTime(believed rollout.Service) time.Duration {
-	worst := c.options.ConfirmationLimit + silenceMargin + c.options.Directory.LongestTimeout(believed.Standing.Service) + writingTime
-	standing := believed.Standing
+// promotionTime is the longest time that it takes to complete an order: a daemon falls silent, and the requests
+// that it sent run into their timeouts.
+func (c *Coordinator) promotionTime(state rollout.Service) time.Duration {
+	worst := c.options.ConfirmationLimit + silenceMargin + c.options.Directory.LongestTimeout(state.Standing.Service) + storeCallTime
+	standing := state.Standing
 	return min(worst, time.Duration(promotionShare*float64(standing.Deadline-standing.BeganAt)))
 }
 
-// write writes a standing, and tells all of it, or of the one that was there before.
+// write writes a standing and broadcasts it, or the one that another daemon wrote first.
 func (c *Coordinator) write(ctx context.Context, next rollout.Standing, facts rollout.Facts, counted progress) {
 	began, over := c.options.Now(), facts.Service.ReplacedRow()
 	bounded, cancel := context.WithTimeout(ctx, writeTimeout)
@@ -190,26 +189,26 @@
 	})
 	if written.Row > over {
 		c.learn(ctx, written)
-		c.tellStanding(written)
+		c.broadcastStanding(written)
 	}
 	c.post(ctx, func(_ context.Context, now time.Time) {
 		driver := c.driver(next.Service)
 		driver.writing = false
 		switch {
 		case err == nil && written.Order == next.Order && written.Stage == next.Stage:
-			log.WithField("row", written.Row).Info("A new stage of a service's versions was written.")
+			log.WithField("row", written.Row).Info("Wrote a new stage of a roll-out.")
 		case err == nil:
-			log.WithField("row", written.Row).Info("A stage was not written: another daemon has written one.")
+			log.WithField("row", written.Row).Info("Stage not written: another daemon has already written one.")
 		case !driver.failing:
-			log.WithError(err).Warn("A stage can't be written. It is tried again.")
+			log.WithError(err).Warn("Writing a stage failed; it will be retried.")
 		}
 		driver.failing = err != nil
-		driver.restTill, driver.wrote = now.Add(writeRest), written.Row
+		driver.pausedUntil, driver.writtenRow = now.Add(writePause), written.Row
 	})
 }
 
-// put writes a standing in place of a row. It returns the one that is in the store then, which
-// another daemon may have written.
+// put replaces a row by a standing. It returns the standing that the store holds afterwards, which another daemon
+// may have written.
 func (c *Coordinator) put(ctx context.Context, next rollout.Standing, over uint64) (rollout.Standing, error) {
 	row, err := c.options.Standings.Put(ctx, next, over)
 	if err == nil {
--- a/internal/rollout/fault_test.go
+++ b/internal/rollout/fault_test.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// faultTime is how long a fault lasts: longer than the confirmation limit.
+	// faultTime is the duration of a fault: longer than the confirmation limit.
 	faultTime = 6 * time.Second
-	// testDuration is the time of an order.
+	// testDuration is the duration of an order.
 	testDuration = 12 * time.Second
-	// patience is within which an order must have ended after its deadline, with a fault.
-	patience = 15 * time.Second
+	// recoveryTime is the time after its deadline within which an order must have ended, despite a fault.
+	recoveryTime = 15 * time.Second
 )
 
-// newQuietFleet makes a fleet that has worked for a moment.
+// newQuietFleet makes a fleet that has already run for two seconds.
 func newQuietFleet(seed uint64, count int, services ...identity.ServiceName) *fleet {
 	made := newFleet(seed, count, services...)
-	made.badness["bad"] = 0.9
+	made.failureRates["bad"] = 0.9
 	made.longest = time.Second
 	made.run(2 * time.Second)
 	return made
@@ -38,8 +38,8 @@
 	assert.DeepEqual(t, f.violations, []string(nil))
 }
 
-// TestDriverFails kills, pauses and cuts off the daemon that writes a stage, before the write and
-// between the write and its answer, at each stage.
+// TestDriverFails kills, pauses and disconnects the daemon that writes a stage, before the write and between the
+// write and its answer, at each stage.
 func TestDriverFails(t *testing.T) {
 	faults := map[string]func(*member, bool){
 		"killed": func(m *member, begins bool) {
@@ -88,14 +88,14 @@
 	}
 	fleet.run(2 * time.Second)
 	fleet.order(testService, newVersion, testDuration)
-	assert.Assert(t, fleet.until(testDuration+patience, fleet.at(testService, rollout.StageCompleted)))
+	assert.Assert(t, fleet.until(testDuration+recoveryTime, fleet.at(testService, rollout.StageCompleted)))
 	assert.Assert(t, hit.Load())
 	fleet.run(faultTime)
 	fleet.check(t)
 }
 
-// TestOrdersInARow replaces an order within its trial and within its shift, by another version and
-// by the old one.
+// TestOrdersInARow replaces an order during its trial and during its shift, by another version and by the old
+// one.
 func TestOrdersInARow(t *testing.T) {
 	for _, at := range []rollout.Stage{rollout.StageTrial, rollout.StageShift} {
 		for _, second := range []identity.SoftwareVersion{"v3", oldVersion} {
@@ -109,7 +109,7 @@
 						standing := fleet.store.standing(testService)
 						return standing.Order == number && standing.Stage == rollout.StageCompleted
 					}
-					assert.Assert(t, fleet.until(testDuration+patience, done), "%+v", fleet.store.standing(testService))
+					assert.Assert(t, fleet.until(testDuration+recoveryTime, done), "%+v", fleet.store.standing(testService))
 					assert.Equal(t, fleet.store.standing(testService).Stable, second)
 					fleet.check(t)
 				})
@@ -118,7 +118,7 @@
 	}
 }
 
-// TestNothingToTry orders a version that no back end runs, and one whose time is over at once.
+// TestNothingToTry orders a version that no back end runs, and one whose deadline passes immediately.
 func TestNothingToTry(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		fleet := newQuietFleet(8, 5, testService, "apps")
@@ -131,7 +131,7 @@
 	})
 }
 
-// TestAllDaemonsKilled kills all daemons in a stage, and starts them anew.
+// TestAllDaemonsKilled restarts all daemons during a stage.
 func TestAllDaemonsKilled(t *testing.T) {
 	for _, at := range []rollout.Stage{rollout.StageTrial, rollout.StageShift} {
 		t.Run(string(at), func(t *testing.T) {
@@ -146,22 +146,23 @@
 				for _, each := range fleet.members {
 					each.start()
 				}
-				assert.Assert(t, fleet.until(testDuration+patience, fleet.at(testService, rollout.StageCompleted)))
+				assert.Assert(t, fleet.until(testDuration+recoveryTime, fleet.at(testService, rollout.StageCompleted)))
 				fleet.check(t)
 			})
 		})
 	}
 }
 
-// TestDaemonIsCutOff cuts a daemon off from everybody in the trial. It exposes nothing after a
-// second, and the order is completed once it must have refused for longer than requests last.
+// TestDaemonIsCutOff disconnects a daemon from all others just before the shift. It must expose nothing after a
+// second, which is checked with each request, and the order must only be completed once the daemon must have
+// refused requests for longer than requests last.
 func TestDaemonIsCutOff(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		fleet := newQuietFleet(10, 7, testService)
 		fleet.order(testService, newVersion, testDuration)
-		assert.Assert(t, fleet.until(testDuration, func() bool { return len(fleet.trials) > 0 }))
+		assert.Assert(t, fleet.until(testDuration, func() bool { return len(fleet.trialRequests) > 0 }))
 		cut := fleet.members[2]
-		// It is cut off just before the shift, so that it goes on as in the trial.
+		// It is disconnected just before the shift, so that it continues as in the trial.
 		fleet.store.before = func(standing rollout.Standing, writer *member) {
 			if standing.Stage == rollout.StageShift && writer != cut {
 				cut.cut(1, true)
@@ -171,11 +172,11 @@
 		began, served := time.Now(), cut.served
 		fleet.run(time.Second)
 		assert.Assert(t, cut.served > served)
-		// Nothing under way says nothing of what it may send a moment later.
+		// Having no requests in progress doesn't prevent it from sending some later.
 		cut.rate = 0
 		fleet.run(1500 * time.Millisecond)
 		cut.rate = 0.3
-		assert.Assert(t, fleet.until(patience, fleet.at(testService, rollout.StageCompleted)))
+		assert.Assert(t, fleet.until(recoveryTime, fleet.at(testService, rollout.StageCompleted)))
 		took := time.Since(began)
 		assert.Assert(t, took >= testLimit && took < testLimit+3*time.Second, "%v", took)
 		fleet.run(time.Second)
@@ -183,7 +184,8 @@
 	})
 }
 
-// TestUnreportedRequestsAreWaitedFor is the same where back ends don't report what is under way.
+// TestUnreportedRequestsAreWaitedFor disconnects a daemon while back ends don't report their requests in
+// progress: the completion must wait for the longest timeout.
 func TestUnreportedRequestsAreWaitedFor(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		fleet := newQuietFleet(11, 7, testService)
@@ -195,14 +197,14 @@
 		fleet.members[2].cut(1, true)
 		assert.Assert(t, fleet.until(testDuration, fleet.at(testService, rollout.StageShift)))
 		began := time.Now()
-		assert.Assert(t, fleet.until(patience, fleet.at(testService, rollout.StageCompleted)))
+		assert.Assert(t, fleet.until(recoveryTime, fleet.at(testService, rollout.StageCompleted)))
 		assert.Assert(t, time.Since(began) >= testLimit+longestRequest, "%v", time.Since(began))
 		fleet.check(t)
 	})
 }
 
-// TestPausedDaemonWakes pauses a daemon with requests that are chosen for and not yet sent, until
-// after the order is completed.
+// TestPausedDaemonWakes pauses a daemon between the selection of a version and the sending, until after the order
+// is completed: the choice must be invalid then.
 func TestPausedDaemonWakes(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		fleet := newQuietFleet(12, 7, testService)
@@ -212,7 +214,7 @@
 		paused := fleet.members[3]
 		choices := paused.coordinator.Choose(testService, "/a", false)
 		paused.pause(true)
-		assert.Assert(t, fleet.until(testDuration+patience, fleet.at(testService, rollout.StageCompleted)))
+		assert.Assert(t, fleet.until(testDuration+recoveryTime, fleet.at(testService, rollout.StageCompleted)))
 		paused.pause(false)
 		assert.Assert(t, !paused.coordinator.Stands(choices))
 		assert.Assert(t, paused.coordinator.Choose(testService, "/a", false).Refused)
@@ -222,7 +224,7 @@
 	})
 }
 
-// TestCompletionIsQuick measures the time from the shift to the completion where nobody is missing.
+// TestCompletionIsQuick bounds the time from the shift to the completion if no daemon is missing.
 func TestCompletionIsQuick(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		fleet := newQuietFleet(15, 10, testService)
@@ -237,7 +239,7 @@
 	})
 }
 
-// TestVersionTurnsBadInShift lets a version turn bad within the shift.
+// TestVersionTurnsBadInShift has a version turn bad during the shift.
 func TestVersionTurnsBadInShift(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		fleet := newQuietFleet(16, 8, testService)
@@ -248,14 +250,15 @@
 		fleet.run(2 * time.Second)
 		cut.cut(1, true)
 		assert.Assert(t, fleet.until(testDuration, fleet.at(testService, rollout.StageShift)))
-		fleet.badness[newVersion] = 0.9
+		fleet.failureRates[newVersion] = 0.9
 		assert.Assert(t, fleet.until(2*time.Second, fleet.at(testService, rollout.StageRolledBack)))
 		fleet.run(time.Second)
 		fleet.check(t)
 	})
 }
 
-// TestCollectorsStandIn has no daemon that reads for all, and kills the first two collectors.
+// TestCollectorsStandIn has no daemon that reads on behalf of all, and kills the first two collectors: others
+// must take over.
 func TestCollectorsStandIn(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		fleet := newQuietFleet(21, 9, testService)
@@ -270,14 +273,14 @@
 			}
 		}
 		assert.Assert(t, fleet.until(testDuration, fleet.at(testService, rollout.StageShift)))
-		assert.Assert(t, fleet.until(patience, fleet.at(testService, rollout.StageCompleted)))
+		assert.Assert(t, fleet.until(recoveryTime, fleet.at(testService, rollout.StageCompleted)))
 		fleet.check(t)
 	})
 }
 
-// TestAcknowledgementEndsWithItsDaemon kills a daemon that has acknowledged a shift. It begins
-// anew by what another one tells that was paused and knows of no shift yet, and is cut off: until its
-// confirmation is too old it sends to the stable version, whose back ends must be there.
+// TestAcknowledgementEndsWithItsDaemon restarts a daemon that has acknowledged a shift. It learns an outdated
+// state from a daemon that was paused before the shift, and is then disconnected. Until its confirmation expires
+// it sends to the stable version, whose back ends must still exist.
 func TestAcknowledgementEndsWithItsDaemon(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		fleet := newQuietFleet(11, 7, testService)
@@ -291,14 +294,14 @@
 		assert.Assert(t, fleet.until(testDuration, fleet.at(testService, rollout.StageShift)))
 		fleet.run(200 * time.Millisecond)
 		killed.kill()
-		fleet.run(heardTime + 100*time.Millisecond)
+		fleet.run(maximumReportAge + 100*time.Millisecond)
 		assert.Equal(t, fleet.stage(testService), rollout.StageShift)
 		killed.start()
-		killed.belief.software, killed.belief.confirmed = maps.Clone(paused.belief.software), paused.belief.confirmed
-		assert.Equal(t, killed.belief.Software(testService).Standing.Stage, rollout.StageTrial)
+		killed.directory.software, killed.directory.confirmed = maps.Clone(paused.directory.software), paused.directory.confirmed
+		assert.Equal(t, killed.directory.Software(testService).Standing.Stage, rollout.StageTrial)
 		killed.cut(1, true)
 		paused.Thaw()
-		assert.Assert(t, fleet.until(patience, fleet.at(testService, rollout.StageCompleted)))
+		assert.Assert(t, fleet.until(recoveryTime, fleet.at(testService, rollout.StageCompleted)))
 		fleet.run(faultTime)
 		fleet.check(t)
 	})
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -23,17 +23,17 @@
 )
 
 const (
-	// stepTime is the time between two looks at the fleet, and checkTime between two readings
-	// of the store by a daemon.
+	// stepTime is the simulated time of one step of the fleet, and checkTime the time between two reads of the
+	// store by a daemon.
 	stepTime  = 10 * time.Millisecond
 	checkTime = 500 * time.Millisecond
 	// testLimit is the confirmation limit: four fifths of a rollbackMs of 5000.
 	testLimit = 4 * time.Second
-	// stopBound is after how long a stop that a daemon could hear must hold there.
+	// stopBound is the time within which a daemon must obey a stop that could have reached it.
 	stopBound = 1500 * time.Millisecond
-	// testShare is the share that may be exposed.
+	// testShare is the share of requests that may be exposed.
 	testShare = 0.1
-	// backendsEach is how many back ends a version has.
+	// backendsEach is the number of back ends of each version.
 	backendsEach = 6
 	// longestRequest is the longest timeout.
 	longestRequest = 3 * time.Second
@@ -42,46 +42,47 @@
 	newVersion identity.SoftwareVersion = "v2"
 )
 
-// fleet is some daemons with a network between them, a store and back ends, in the time of a
-// synctest bubble. The test's goroutine does all steps.
+// fleet simulates daemons, the network between them, a store and back ends in the fake time of a synctest bubble.
+// The test's goroutine runs all steps.
 type fleet struct {
 	network *peerlinktest.Network
-	luck    *rand.Rand
+	random  *rand.Rand
 	store   *store
 	members []*member
-	// services are worked on at the same time.
+	// services may have orders at the same time.
 	services []identity.ServiceName
-	// badness is the share of failures of a version.
-	badness map[identity.SoftwareVersion]float64
-	// lives counts the starts of daemons: each begins with some credit.
-	lives int
-	// relayChecks lets daemons that don't reach the store be told of what others read.
+	// failureRates are the shares of failed answers by version.
+	failureRates map[identity.SoftwareVersion]float64
+	// starts counts the starts of daemons, each of which comes with some initial credit.
+	starts int
+	// relayChecks passes what is read on to daemons that can't reach the store.
 	relayChecks bool
-	// unchecked lets daemons not read the store, and readerless lets none of them read for all.
+	// unchecked keeps all daemons from reading the store, and readerless keeps them from reading on behalf of
+	// all.
 	unchecked  atomic.Bool
 	readerless bool
-	// longest is how long the longest requests take.
+	// longest is the duration of the longest requests.
 	longest time.Duration
 
 	mutex sync.Mutex
-	// actions are what the test's goroutine does next.
+	// actions are run by the test's goroutine in the next step.
 	actions []func()
-	// listed are the versions with back ends, by service.
+	// listed holds the versions that have back ends, by service.
 	listed map[identity.ServiceName]map[identity.SoftwareVersion]bool
-	// underWay counts requests at back ends, by service and version.
-	underWay   map[identity.ServiceName]map[identity.SoftwareVersion]int
-	sent       map[identity.ServiceName]map[identity.SoftwareVersion]int
-	trials     map[uint64]int
-	bases      map[uint64]int
-	violations []string
+	// underWay counts the requests in progress at back ends, by service and version.
+	underWay               map[identity.ServiceName]map[identity.SoftwareVersion]int
+	sent                   map[identity.ServiceName]map[identity.SoftwareVersion]int
+	trialRequests          map[uint64]int
+	stableAndTrialRequests map[uint64]int
+	violations             []string
 }
 
 func newFleet(seed uint64, count int, services ...identity.ServiceName) *fleet {
 	made := &fleet{
-		network: peerlinktest.NewNetwork(seed), luck: rand.New(rand.NewPCG(seed, 7)), services: services,
-		badness: map[identity.SoftwareVersion]float64{}, longest: longestRequest,
+		network: peerlinktest.NewNetwork(seed), random: rand.New(rand.NewPCG(seed, 7)), services: services,
+		failureRates: map[identity.SoftwareVersion]float64{}, longest: longestRequest,
 		listed: map[identity.ServiceName]map[identity.SoftwareVersion]bool{}, underWay: map[identity.ServiceName]map[identity.SoftwareVersion]int{},
-		sent: map[identity.ServiceName]map[identity.SoftwareVersion]int{}, trials: map[uint64]int{}, bases: map[uint64]int{},
+		sent: map[identity.ServiceName]map[identity.SoftwareVersion]int{}, trialRequests: map[uint64]int{}, stableAndTrialRequests: map[uint64]int{},
 	}
 	made.store = &store{fleet: made, began: time.Now(), standings: map[identity.ServiceName]rollout.Standing{}, orders: map[identity.ServiceName]rollout.Order{}, declared: map[uint64]identity.SoftwareVersion{}}
 	for _, service := range services {
@@ -103,7 +104,7 @@
 	f.violations = append(f.violations, fmt.Sprintf("%v: ", time.Since(f.store.began))+fmt.Sprintf(format, arguments...))
 }
 
-// order declares an order, and starts its back ends.
+// order declares an order, and starts back ends of its target.
 func (f *fleet) order(service identity.ServiceName, target identity.SoftwareVersion, duration time.Duration) uint64 {
 	f.list(service, target)
 	return f.store.order(service, target, duration)
@@ -115,12 +116,12 @@
 	f.listed[service][version] = true
 }
 
-// run lets the fleet work for a time.
+// run runs the fleet for a time.
 func (f *fleet) run(duration time.Duration) {
 	f.until(duration, func() bool { return false })
 }
 
-// until lets the fleet work for a time, or until something holds. It tells whether that does.
+// until runs the fleet for a time, or until a condition holds. It reports whether the condition holds.
 func (f *fleet) until(duration time.Duration, holds func() bool) bool {
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		if holds() {
@@ -128,7 +129,7 @@
 		}
 		time.Sleep(stepTime)
 		synctest.Wait()
-		f.act()
+		f.runActions()
 		for _, each := range f.members {
 			if each.Working() {
 				each.step()
@@ -139,14 +140,14 @@
 	return holds()
 }
 
-// later lets the test's goroutine do something.
+// later schedules an action of the test's goroutine.
 func (f *fleet) later(action func()) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.actions = append(f.actions, action)
 }
 
-func (f *fleet) act() {
+func (f *fleet) runActions() {
 	f.mutex.Lock()
 	due := f.actions
 	f.actions = nil
@@ -156,7 +157,7 @@
 	}
 }
 
-// stage is what the store has of a service.
+// stage returns the stage of a service in the store.
 func (f *fleet) stage(service identity.ServiceName) rollout.Stage {
 	return f.store.standing(service).Stage
 }
@@ -165,18 +166,18 @@
 	return func() bool { return f.stage(service) == stage }
 }
 
-// noteStops notes which daemons could have heard of a stop since when.
+// noteStops records since when each daemon could have received a stop.
 func (f *fleet) noteStops() {
 	for _, each := range f.members {
 		for _, service := range f.services {
-			each.noteTouch(service)
+			each.updateReachability(service)
 		}
 	}
 }
 
-// settle ends all requests.
+// settle ends all daemons and their requests.
 func (f *fleet) settle() {
-	f.act()
+	f.runActions()
 	for _, each := range f.members {
 		each.kill()
 	}
@@ -184,7 +185,7 @@
 	synctest.Wait()
 }
 
-// store is the platform's store, with faults.
+// store simulates the platform's store, with faults.
 type store struct {
 	fleet     *fleet
 	began     time.Time
@@ -192,16 +193,16 @@
 	version   uint64
 	standings map[identity.ServiceName]rollout.Standing
 	orders    map[identity.ServiceName]rollout.Order
-	// declared are the versions that orders name, by their numbers.
+	// declared holds the targets of orders by number.
 	declared map[uint64]identity.SoftwareVersion
-	// history are all standings that were written.
+	// history holds all standings that were written.
 	history []rollout.Standing
 	writes  int
 	down    bool
 	// readOnly makes writes fail.
 	readOnly bool
 	delay    time.Duration
-	// loseAnswers is how many answers to writes are lost after the write.
+	// loseAnswers is the number of writes that will succeed without an answer.
 	loseAnswers int
 	// before is called before a write, and after it before its answer.
 	before, after func(rollout.Standing, *member)
@@ -243,14 +244,14 @@
 	s.delay = delay
 }
 
-// answers tells whether the store answers a daemon, and how long it takes.
+// answers reports whether the store answers a daemon, and after which delay.
 func (s *store) answers(caller *member) (time.Duration, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.delay, !s.down && !caller.storeless.Load()
 }
 
-// commit writes a standing if its row is the expected one, and tells whether the answer is lost.
+// commit writes a standing if the current row is the expected one, and reports whether the answer is lost.
 func (s *store) commit(standing rollout.Standing, over uint64) (row uint64, conflict, lost bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -270,8 +271,8 @@
 	return standing.Row, false, false
 }
 
-// checkWrite checks, at the moment of a write, that an order is only completed while nothing is
-// under way at the old back ends, which then end.
+// checkWrite checks, at the time of a write, that an order is only completed while no requests are in progress at
+// the old back ends, and then removes these.
 func (f *fleet) checkWrite(standing, before rollout.Standing) {
 	if standing.Stage != rollout.StageCompleted {
 		return
@@ -297,19 +298,19 @@
 	}
 }
 
-// versions are the listed versions of a service.
+// versions returns the listed versions of a service.
 func (f *fleet) versions(service identity.ServiceName) []identity.SoftwareVersion {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return slices.Sorted(maps.Keys(f.listed[service]))
 }
 
-// keyOf is the hash of the ID of a version's back end.
+// keyOf returns the hash of the ID of a version's back end.
 func keyOf(version identity.SoftwareVersion, index int) uint64 {
 	return rendezvous.Key(fmt.Sprintf("%s-%d", version, index))
 }
 
-// SoftwareVersions, KeysOf and Backends are what all daemons know of back ends.
+// SoftwareVersions, KeysOf and Backends implement Backends. All daemons know the same back ends.
 func (m *member) SoftwareVersions(service identity.ServiceName) map[identity.SoftwareVersion]int {
 	counts := map[identity.SoftwareVersion]int{}
 	for _, version := range m.fleet.versions(service) {
@@ -339,7 +340,7 @@
 	return listed
 }
 
-// Own counts the daemon's requests that have a place at a back end of another version.
+// InFlightAtOthers counts the daemon's requests that have a place at a back end of another version.
 func (m *member) InFlightAtOthers(service identity.ServiceName, except identity.SoftwareVersion) int {
 	count := 0
 	for _, each := range m.requests {
@@ -350,7 +351,7 @@
 	return count
 }
 
-// UnderWay implements Reports: the back ends of a version count together.
+// UnderWay implements Reports; it counts the requests at all back ends of a version.
 func (m *member) UnderWay(_ context.Context, backend backendpool.Backend) (int, error) {
 	if m.reportless.Load() {
 		return 0, errTest
@@ -360,13 +361,13 @@
 	return m.fleet.underWay[backend.Service][backend.Software], nil
 }
 
-// newOptions are those of a daemon that begins.
+// newOptions returns the options of a daemon that starts.
 func (m *member) newOptions() Options {
 	heard := presence.New()
 	m.Observe(func(from string) { heard.Heard(from, time.Now()) })
 	return Options{
 		Link: m, Others: m.others, Count: func() int { return len(m.fleet.members) }, Presence: heard,
-		Broadcast: m.tell, Directory: m.belief, Backends: m, Standings: m, Reports: m,
+		Broadcast: m.tell, Directory: m.directory, Backends: m, Standings: m, Reports: m,
 		ExposureShare: testShare, ConfirmationLimit: testLimit, Log: logging.Discard(), Now: time.Now,
 	}
 }
@@ -387,7 +388,7 @@
 	}
 }
 
-// inBubble plays a test in the time of a bubble.
+// inBubble runs a test in the fake time of a synctest bubble.
 func inBubble(t *testing.T, play func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { play(t) })
--- a/internal/rollout/idle.go
+++ b/internal/rollout/idle.go
@@ -14,59 +14,58 @@
 )
 
 const (
-	// askInterval is how often back ends are asked for what is under way there, askTimeout
-	// bounds one call, and askedTogether is how many calls run at a time.
-	askInterval   = 500 * time.Millisecond
-	askTimeout    = time.Second
-	askedTogether = 16
+	// queryInterval is how often back ends are queried for their requests in progress, queryTimeout bounds one call,
+	// and maximumConcurrentCalls the number of concurrent calls.
+	queryInterval          = 500 * time.Millisecond
+	queryTimeout           = time.Second
+	maximumConcurrentCalls = 16
 )
 
-// idleness is what back ends of other versions than the target report, while daemons are silent.
-type idleness struct {
-	// row is the shift's; asking is set while back ends are asked.
-	row     uint64
-	asking  bool
-	askedAt time.Time
-	idle    bool
+// idleState is what back ends of other versions than the target have reported, while some daemons are silent.
+type idleState struct {
+	// row is the row of the shift's standing; asking is set while back ends are being queried.
+	row       uint64
+	querying  bool
+	queriedAt time.Time
+	idle      bool
 }
 
-// idle tells whether nothing is under way at back ends of other versions. Where all daemons have
-// reported that themselves, back ends need not be asked; else it asks them in the background, and
-// returns what they answered last.
-func (c *Coordinator) idle(ctx context.Context, now time.Time, believed rollout.Service, found *collector, counted progress) bool {
+// idle reports whether back ends of other versions have no requests in progress. If all daemons have reported so,
+// no back end has to be queried; otherwise idle queries them in the background, and returns their last answer.
+func (c *Coordinator) idle(ctx context.Context, now time.Time, state rollout.Service, found *collector, counted progress) bool {
 	if counted.silent == 0 && counted.missing == 0 {
 		return true
 	}
-	asked := c.idlenessOf(believed.Standing)
-	if counted.missing > 0 { // an answer holds for good only once nobody may send there any more
+	asked := c.idlenessOf(state.Standing)
+	if counted.missing > 0 { // an answer is only final once no daemon may send there any more
 		return false
 	}
-	if !asked.idle && !asked.asking && now.Sub(asked.askedAt) >= askInterval {
-		asked.asking, asked.askedAt = true, now
-		go c.askBackends(ctx, believed.Standing, c.timeoutsPassed(now, believed.Standing.Service, found))
+	if !asked.idle && !asked.querying && now.Sub(asked.queriedAt) >= queryInterval {
+		asked.querying, asked.queriedAt = true, now
+		go c.queryBackends(ctx, state.Standing, c.timeoutsPassed(now, state.Standing.Service, found))
 	}
 	return asked.idle
 }
 
-// idlenessOf returns what is known for a shift, nothing where its standing is a new one.
-func (c *Coordinator) idlenessOf(standing rollout.Standing) *idleness {
+// idlenessOf returns the state for a shift, which is reset if its standing is a new one.
+func (c *Coordinator) idlenessOf(standing rollout.Standing) *idleState {
 	driver := c.driver(standing.Service)
 	if driver.idleness.row != standing.Row {
-		driver.idleness = idleness{row: standing.Row}
+		driver.idleness = idleState{row: standing.Row}
 	}
 	return &driver.idleness
 }
 
-// timeoutsPassed tells whether the longest timeout has passed since the last daemon must have
-// refused requests: what was sent before to a back end that doesn't answer has ended then.
+// timeoutsPassed reports whether the longest timeout has passed since the last daemon must have refused requests.
+// Requests that were sent before to a back end that doesn't answer have ended by then.
 func (c *Coordinator) timeoutsPassed(now time.Time, service identity.ServiceName, found *collector) bool {
 	longest := c.options.ConfirmationLimit + silenceMargin + c.options.Directory.LongestTimeout(service)
 	return now.Sub(found.shiftSince) > longest
 }
 
-// askBackends asks the back ends of other versions than the target for what is under way there.
-// waited is set where back ends that don't answer count as idle.
-func (c *Coordinator) askBackends(ctx context.Context, standing rollout.Standing, waited bool) {
+// queryBackends queries the back ends of other versions than the target for their requests in progress. If waited
+// is set, back ends that don't answer count as idle.
+func (c *Coordinator) queryBackends(ctx context.Context, standing rollout.Standing, waited bool) {
 	asked := c.olderBackends(standing.Service, standing.Target)
 	busy, failed := c.countUnderWay(ctx, asked)
 	idle := busy == 0 && (failed == 0 || waited)
@@ -77,25 +76,25 @@
 	c.post(ctx, func(context.Context, time.Time) {
 		asked := &c.driver(standing.Service).idleness
 		if asked.row == standing.Row {
-			asked.asking, asked.idle = false, idle
+			asked.querying, asked.idle = false, idle
 		}
 	})
 }
 
-// countUnderWay adds up what back ends have under way, and counts those that don't tell.
+// countUnderWay sums the requests in progress at back ends, and counts the back ends that don't answer.
 func (c *Coordinator) countUnderWay(ctx context.Context, backends []backendpool.Backend) (busy, failed int64) {
 	var sum, failures atomic.Int64
 	var asking sync.WaitGroup
-	room := make(chan struct{}, askedTogether)
+	room := make(chan struct{}, maximumConcurrentCalls)
 	for _, backend := range backends {
 		room <- struct{}{}
 		asking.Go(func() {
 			defer func() { <-room }()
-			bounded, cancel := context.WithTimeout(ctx, askTimeout)
+			bounded, cancel := context.WithTimeout(ctx, queryTimeout)
 			defer cancel()
 			underWay, err := c.options.Reports.UnderWay(bounded, backend)
 			if err != nil {
-				failures.Add(1) // told with the others'
+				failures.Add(1) // the caller logs the number of failures
 			}
 			sum.Add(int64(underWay))
 		})
@@ -104,7 +103,7 @@
 	return sum.Load(), failures.Load()
 }
 
-// olderBackends are the listed back ends of a service of other versions than one.
+// olderBackends returns the listed back ends of a service that run other versions than except.
 func (c *Coordinator) olderBackends(service identity.ServiceName, except identity.SoftwareVersion) []backendpool.Backend {
 	var found []backendpool.Backend
 	for _, backend := range c.options.Backends.Backends() {
--- a/internal/rollout/member_test.go
+++ b/internal/rollout/member_test.go
@@ -17,32 +17,32 @@
 	"github.com/lotusward/lotusward/internal/relay"
 )
 
-var errTest = errors.New("out of reach")
+var errTest = errors.New("unreachable")
 
-// member is one daemon of a fleet.
+// member simulates one daemon of a fleet.
 type member struct {
 	*peerlinktest.Node
 	fleet       *fleet
 	index       int
 	coordinator *Coordinator
-	belief      *belief
+	directory   *directory
 	cancel      context.CancelFunc
 	ctx         context.Context
 	dead        bool
 	side        atomic.Int64
 	tickedAt    time.Time
 	checkedAt   time.Time
-	// storeless and reportless daemons reach neither the store nor the back ends' reports.
+	// storeless daemons can't reach the store, and reportless ones don't get the back ends' reports.
 	storeless, reportless atomic.Bool
 	requests              []*request
-	// rate is the chance that a request comes in a step.
+	// rate is the probability of a request in a step.
 	rate            float64
 	refused, served int
-	// couldHear is since when this daemon could have heard of a stop, by service, touched are the
-	// orders that these are of, and reachedAt is when it last reached other daemons.
-	couldHear map[identity.ServiceName]time.Time
-	touched   map[identity.ServiceName]uint64
-	reachedAt map[string]time.Time
+	// stopReachableSince is since when a stop could have reached this daemon, by service, stopReachableOrder
+	// holds the order that it refers to, and reachedAt is when this daemon could last reach each of the others.
+	stopReachableSince map[identity.ServiceName]time.Time
+	stopReachableOrder map[identity.ServiceName]uint64
+	reachedAt          map[string]time.Time
 }
 
 // request is a request with a place at a back end.
@@ -53,12 +53,12 @@
 	sendAt  time.Time
 	sent    bool
 	endsAt  time.Time
-	// over is set once the back end has ended it.
+	// over is set once the request has ended at the back end.
 	over bool
 }
 
-// belief is what a daemon believes.
-type belief struct {
+// directory is a Directory that reads the simulated store.
+type directory struct {
 	member    *member
 	mutex     sync.Mutex
 	known     bool
@@ -66,36 +66,36 @@
 	software  map[identity.ServiceName]rollout.Service
 }
 
-// start gives the daemon the state that it has after a restart: none.
+// start starts the daemon without any state, as after a restart.
 func (m *member) start() {
-	m.belief = &belief{member: m, software: map[identity.ServiceName]rollout.Service{}}
+	m.directory = &directory{member: m, software: map[identity.ServiceName]rollout.Service{}}
 	m.ctx, m.cancel = context.WithCancel(context.Background())
 	m.coordinator = New(m.newOptions())
 	m.tickedAt, m.checkedAt, m.dead = time.Time{}, time.Time{}, false
-	m.couldHear, m.touched = map[identity.ServiceName]time.Time{}, map[identity.ServiceName]uint64{}
+	m.stopReachableSince, m.stopReachableOrder = map[identity.ServiceName]time.Time{}, map[identity.ServiceName]uint64{}
 	m.reachedAt = map[string]time.Time{}
-	m.fleet.lives++
+	m.fleet.starts++
 	m.SetDown(false)
 	m.join()
 }
 
-// join takes over what another daemon believes, as long as it has a confirmation of it, whether or
-// not it knows the newest.
+// join copies the state of the first reachable daemon that has any, with the time of its confirmation, whether or
+// not that state is up to date.
 func (m *member) join() {
 	for offset := range m.fleet.members {
 		other := m.fleet.members[(m.index+offset)%len(m.fleet.members)]
-		if other == m || other.dead || !other.Working() || other.side.Load() != m.side.Load() || other.belief == nil || !other.belief.ready() {
+		if other == m || other.dead || !other.Working() || other.side.Load() != m.side.Load() || other.directory == nil || !other.directory.ready() {
 			continue
 		}
-		other.belief.mutex.Lock()
-		confirmed, software := other.belief.confirmed, maps.Clone(other.belief.software)
-		other.belief.mutex.Unlock()
-		m.belief.adopt(confirmed, software)
+		other.directory.mutex.Lock()
+		confirmed, software := other.directory.confirmed, maps.Clone(other.directory.software)
+		other.directory.mutex.Unlock()
+		m.directory.adopt(confirmed, software)
 		return
 	}
 }
 
-// kill ends the daemon. The connections of its requests close, and back ends end them.
+// kill ends the daemon. The connections of its requests close, so that they end at the back ends.
 func (m *member) kill() {
 	if m.dead {
 		return
@@ -110,7 +110,7 @@
 	m.requests = nil
 }
 
-// pause makes the daemon stand still, or ends that.
+// pause suspends or resumes the daemon.
 func (m *member) pause(paused bool) {
 	if paused {
 		m.Freeze()
@@ -119,14 +119,14 @@
 	m.Thaw()
 }
 
-// cut puts the daemon on a side of a cut, with or without the store.
+// cut moves the daemon to a side of a network partition, with or without access to the store.
 func (m *member) cut(side int, storeless bool) {
 	m.side.Store(int64(side))
 	m.SetSide(side)
 	m.storeless.Store(storeless)
 }
 
-// step does what the daemon does in a moment.
+// step runs one step of the daemon.
 func (m *member) step() {
 	now := time.Now()
 	m.check(now)
@@ -145,104 +145,104 @@
 	m.serve(now)
 }
 
-// check reads the store, each daemon for itself.
+// check reads the store for this daemon.
 func (m *member) check(now time.Time) {
 	delay, answers := m.fleet.store.answers(m)
 	if now.Sub(m.checkedAt) < checkTime || !answers || m.fleet.unchecked.Load() {
 		return
 	}
 	m.checkedAt = now
-	held := m.belief
+	held := m.directory
 	read := map[identity.ServiceName]rollout.Service{}
 	for _, service := range m.fleet.services {
-		believed := rollout.Service{Standing: m.fleet.store.standing(service)}
+		state := rollout.Service{Standing: m.fleet.store.standing(service)}
 		if order, found := m.fleet.store.orderOf(service); found {
-			believed.Order, believed.OrderSince = &order, m.fleet.store.now()
+			state.Order, state.OrderSince = &order, m.fleet.store.now()
 		}
-		read[service] = believed
+		read[service] = state
 	}
 	time.AfterFunc(delay, func() { m.WhenAwake(func() { held.adopt(now, read) }) })
 	if !m.fleet.relayChecks {
 		return
 	}
 	for _, each := range m.fleet.members {
-		if told := each.belief; each.side.Load() == m.side.Load() && each.storeless.Load() {
+		if told := each.directory; each.side.Load() == m.side.Load() && each.storeless.Load() {
 			time.AfterFunc(delay+peerlinktest.Delay, func() { told.member.WhenAwake(func() { told.adopt(now, read) }) })
 		}
 	}
 }
 
-func (b *belief) adopt(began time.Time, read map[identity.ServiceName]rollout.Service) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.known = true
-	if began.After(b.confirmed) {
-		b.confirmed = began
+func (d *directory) adopt(began time.Time, read map[identity.ServiceName]rollout.Service) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.known = true
+	if began.After(d.confirmed) {
+		d.confirmed = began
 	}
 	for service, got := range read {
-		had := b.software[service]
+		had := d.software[service]
 		if had.Standing.Row > got.Standing.Row {
 			got.Standing = had.Standing
 		}
 		if had.Order != nil && got.Order != nil && had.Order.Number >= got.Order.Number {
 			got.Order, got.OrderSince = had.Order, had.OrderSince
 		}
-		b.software[service] = got
+		d.software[service] = got
 	}
 }
 
-func (b *belief) Services() []identity.ServiceName { return b.member.fleet.services }
+func (d *directory) Services() []identity.ServiceName { return d.member.fleet.services }
 
-func (b *belief) Software(service identity.ServiceName) rollout.Service {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.software[service]
+func (d *directory) Software(service identity.ServiceName) rollout.Service {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return d.software[service]
 }
 
-func (b *belief) ConfirmedAt() time.Time {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.confirmed
+func (d *directory) ConfirmedAt() time.Time {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return d.confirmed
 }
 
-func (b *belief) ready() bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.known
+func (d *directory) ready() bool {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return d.known
 }
 
-func (b *belief) StoreClock(time.Time) (time.Duration, bool) {
-	return b.member.fleet.store.now(), b.ready()
+func (d *directory) StoreClock(time.Time) (time.Duration, bool) {
+	return d.member.fleet.store.now(), d.ready()
 }
 
-func (b *belief) Learn(_ context.Context, standing rollout.Standing) {
-	b.member.WhenAwake(func() {
-		b.mutex.Lock()
-		defer b.mutex.Unlock()
-		believed := b.software[standing.Service]
-		if standing.Row > believed.Standing.Row {
-			believed.Standing = standing
-			b.software[standing.Service] = believed
+func (d *directory) Learn(_ context.Context, standing rollout.Standing) {
+	d.member.WhenAwake(func() {
+		d.mutex.Lock()
+		defer d.mutex.Unlock()
+		state := d.software[standing.Service]
+		if standing.Row > state.Standing.Row {
+			state.Standing = standing
+			d.software[standing.Service] = state
 		}
 	})
 }
 
-// Reads is true at the first daemon that reaches the store.
-func (b *belief) Reads() bool {
-	for _, each := range b.member.fleet.members {
-		if b.member.fleet.readerless {
+// Reads is true for the first daemon that can reach the store.
+func (d *directory) Reads() bool {
+	for _, each := range d.member.fleet.members {
+		if d.member.fleet.readerless {
 			return false
 		}
 		if each.Working() && !each.storeless.Load() {
-			return each == b.member
+			return each == d.member
 		}
 	}
 	return false
 }
 
-func (b *belief) LongestTimeout(identity.ServiceName) time.Duration { return longestRequest }
+func (d *directory) LongestTimeout(identity.ServiceName) time.Duration { return longestRequest }
 
-// Put implements Standings. In a slow store it is written halfway.
+// Put implements Standings. In a slow store the write takes effect after half of the delay.
 func (m *member) Put(ctx context.Context, standing rollout.Standing, over uint64) (uint64, error) {
 	store := m.fleet.store
 	if store.before != nil {
@@ -277,7 +277,7 @@
 	return found, found.Row > 0, nil
 }
 
-// passes waits; it returns false if the context ends first.
+// passes waits for a delay. It returns false if the context ends first.
 func passes(ctx context.Context, delay time.Duration) bool {
 	if delay == 0 {
 		return ctx.Err() == nil
@@ -292,20 +292,20 @@
 
 // serve begins, sends and ends requests.
 func (m *member) serve(now time.Time) {
-	if !m.belief.ready() {
+	if !m.directory.ready() {
 		return
 	}
 	m.requests = slices.DeleteFunc(m.requests, func(each *request) bool { return m.proceed(now, each) })
 	for _, service := range m.fleet.services {
-		if m.fleet.luck.Float64() < m.rate {
-			m.begin(now, service, m.fleet.luck.Float64() < 0.9)
+		if m.fleet.random.Float64() < m.rate {
+			m.begin(now, service, m.fleet.random.Float64() < 0.9)
 		}
 	}
 }
 
-// begin chooses for a request. Some wait between the choice and the sending.
+// begin selects a version for a request. Some requests wait between the selection and the sending.
 func (m *member) begin(now time.Time, service identity.ServiceName, first bool) {
-	route := []string{"/a", "/b"}[m.fleet.luck.IntN(2)]
+	route := []string{"/a", "/b"}[m.fleet.random.IntN(2)]
 	choice := m.coordinator.Choose(service, route, first)
 	if choice.Refused {
 		m.refused++
@@ -315,7 +315,7 @@
 	version := choice.Version
 	listed := m.fleet.versions(service)
 	if choice.Any {
-		version = listed[m.fleet.luck.IntN(len(listed))]
+		version = listed[m.fleet.random.IntN(len(listed))]
 	}
 	keys := choice.Backends
 	if keys == nil {
@@ -325,16 +325,16 @@
 		m.coordinator.Dropped(choice)
 		return
 	}
-	begun := &request{choice: choice, version: version, backend: keys[m.fleet.luck.IntN(len(keys))], sendAt: now}
-	if m.fleet.luck.Float64() < 0.2 {
-		begun.sendAt = now.Add(time.Duration(m.fleet.luck.Int64N(int64(min(m.fleet.longest, 300*time.Millisecond)))))
+	begun := &request{choice: choice, version: version, backend: keys[m.fleet.random.IntN(len(keys))], sendAt: now}
+	if m.fleet.random.Float64() < 0.2 {
+		begun.sendAt = now.Add(time.Duration(m.fleet.random.Int64N(int64(min(m.fleet.longest, 300*time.Millisecond)))))
 	}
 	if !m.proceed(now, begun) {
 		m.requests = append(m.requests, begun)
 	}
 }
 
-// proceed sends or ends a request that is due. It returns true once the request is over.
+// proceed sends or ends a request that is due. It returns true once the request has ended.
 func (m *member) proceed(now time.Time, each *request) bool {
 	switch {
 	case !each.sent && now.Before(each.sendAt), each.sent && now.Before(each.endsAt):
@@ -352,23 +352,23 @@
 		lasts := m.fleet.duration()
 		each.sent, each.endsAt = true, now.Add(lasts)
 		m.fleet.began(each)
-		// The back end ends it also while the daemon stands still.
+		// The request ends at the back end even while the daemon is suspended.
 		time.AfterFunc(lasts, func() { m.fleet.ended(each) })
 		return false
 	}
 }
 
-// duration draws how long a request takes.
+// duration draws the duration of a request.
 func (f *fleet) duration() time.Duration {
-	if f.luck.Float64() < 0.02 {
-		return time.Duration(f.luck.Int64N(int64(f.longest)))
+	if f.random.Float64() < 0.02 {
+		return time.Duration(f.random.Int64N(int64(f.longest)))
 	}
-	return time.Duration(f.luck.Int64N(int64(min(f.longest, 300*time.Millisecond))))
+	return time.Duration(f.random.Int64N(int64(min(f.longest, 300*time.Millisecond))))
 }
 
 func (m *member) end(each *request) relay.SendingEnd {
 	ended := relay.SendingEnd{Backend: each.backend, Result: backendpool.ResultServed, Status: 200, FirstByte: 20 * time.Millisecond, Tokens: 100}
-	if m.fleet.luck.Float64() < m.fleet.badness[each.version] {
+	if m.fleet.random.Float64() < m.fleet.failureRates[each.version] {
 		ended.Result, ended.Status, ended.BackendFailed = backendpool.ResultFailed, 500, true
 	}
 	return ended
@@ -380,10 +380,10 @@
 	f.underWay[each.choice.Service][each.version]++
 	f.sent[each.choice.Service][each.version]++
 	if each.choice.Trial {
-		f.trials[each.choice.Order]++
+		f.trialRequests[each.choice.Order]++
 	}
 	if each.choice.Stage == rollout.StageTrial {
-		f.bases[each.choice.Order]++
+		f.stableAndTrialRequests[each.choice.Order]++
 	}
 }
 
@@ -396,7 +396,7 @@
 	}
 }
 
-// checkSending checks a request at the moment of its sending.
+// checkSending checks the invariants at the time a request is sent.
 func (m *member) checkSending(now time.Time, each *request) {
 	service, f := each.choice.Service, m.fleet
 	if !slices.Contains(f.versions(service), each.version) {
@@ -407,8 +407,8 @@
 	if ordered := f.store.declared[each.choice.Order]; !stable && ordered != each.version {
 		f.violate("daemon %d sends to %s of %s without an order", m.index, each.version, service)
 	}
-	target := each.choice.Trial || (each.choice.Stage == rollout.StageShift && each.version != m.belief.Software(service).Standing.Stable)
-	if since, could := m.couldHear[service]; target && could && now.Sub(since) > stopBound {
+	target := each.choice.Trial || (each.choice.Stage == rollout.StageShift && each.version != m.directory.Software(service).Standing.Stable)
+	if since, could := m.stopReachableSince[service]; target && could && now.Sub(since) > stopBound {
 		f.violate("daemon %d sends to %s of %s (%s) %v after it could have heard of a stop", m.index, each.version, service, each.choice.Stage, now.Sub(since))
 	}
 	if reached, all := m.reached(now, service, each.choice.Order); each.choice.Trial && 2*reached <= all {
@@ -416,7 +416,8 @@
 	}
 }
 
-// reached counts the collectors of an order that the daemon reached when a grant could still hold.
+// reached counts the collectors of an order that the daemon could reach so recently that a grant could still
+// hold.
 func (m *member) reached(now time.Time, service identity.ServiceName, order uint64) (reached, all int) {
 	ranking := m.coordinator.collectorsOf(service, order)
 	for _, address := range ranking {
@@ -427,13 +428,13 @@
 	return reached, len(ranking)
 }
 
-// noteTouch notes which daemons this one reaches, and since when it could have heard of a stop of
-// a service's order under way.
-func (m *member) noteTouch(service identity.ServiceName) {
+// updateReachability records which daemons this one can reach, and since when a stop of a service's active order
+// could have reached it.
+func (m *member) updateReachability(service identity.ServiceName) {
 	now, number := time.Now(), m.fleet.store.standing(service).Order
-	if !m.Working() || m.dead || m.touched[service] != number {
-		m.touched[service] = number
-		delete(m.couldHear, service)
+	if !m.Working() || m.dead || m.stopReachableOrder[service] != number {
+		m.stopReachableOrder[service] = number
+		delete(m.stopReachableSince, service)
 	}
 	heard := false
 	for _, each := range m.fleet.members {
@@ -444,9 +445,9 @@
 		stop := each.coordinator.stops[service]
 		heard = heard || (stop != nil && stop.order == number)
 	}
-	if _, held := m.couldHear[service]; !heard {
-		delete(m.couldHear, service)
+	if _, held := m.stopReachableSince[service]; !heard {
+		delete(m.stopReachableSince, service)
 	} else if !held {
-		m.couldHear[service] = now
+		m.stopReachableSince[service] = now
 	}
 }
--- a/internal/rollout/metrics.go
+++ b/internal/rollout/metrics.go
@@ -13,19 +13,19 @@
 	subsystem = "software"
 )
 
-// stages are all stages, for the gauge that has one of them set.
+// stages lists all stages, for the gauge that is 1 for one of them.
 var stages = []rollout.Stage{
 	rollout.StageNone, rollout.StageTrial, rollout.StageShift, rollout.StageCompleted, rollout.StageRolledBack,
 }
 
-// metrics are counted by service and version. Both are few.
+// metrics are labeled by service and version, both of which have few values.
 type metrics struct {
 	answers *prometheus.CounterVec
 	share   *prometheus.GaugeVec
 	stage   *prometheus.GaugeVec
 }
 
-// newMetrics makes the metrics, and registers them where there is a registry.
+// newMetrics makes the metrics, and registers them if there is a registerer.
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	made := &metrics{
 		answers: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/internal/rollout/property_test.go
+++ b/internal/rollout/property_test.go
@@ -11,7 +11,7 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// disturbance is a kind of step.
+// disturbance is a kind of fault or change that a step applies.
 type disturbance int
 
 const (
@@ -52,7 +52,7 @@
 	}), 3, 25).Draw(t, "steps")
 }
 
-// disturb does one step.
+// disturb applies one step.
 func (f *fleet) disturb(each step) {
 	daemon := f.members[each.daemon]
 	switch each.what {
@@ -84,13 +84,13 @@
 	case disturbOrder:
 		f.order(f.services[each.daemon%len(f.services)], each.target, testDuration)
 	case disturbTurnsBad:
-		f.badness[each.target] = 0.9
+		f.failureRates[each.target] = 0.9
 	default:
 		f.disturbShared(each.what)
 	}
 }
 
-// disturbShared disturbs what all daemons use.
+// disturbShared applies a disturbance of the store or the network, which all daemons use.
 func (f *fleet) disturbShared(what disturbance) {
 	switch what {
 	case disturbStoreDown:
@@ -107,8 +107,8 @@
 	}
 }
 
-// mend ends all faults.
-func (f *fleet) mend() {
+// repair ends all faults.
+func (f *fleet) repair() {
 	f.store.setDown(false)
 	f.store.setDelay(0)
 	f.store.loseAnswers = 0
@@ -122,7 +122,7 @@
 	}
 }
 
-// ended tells whether all orders have ended.
+// allEnded reports whether all orders have ended.
 func (f *fleet) allEnded() bool {
 	for _, service := range f.services {
 		standing := f.store.standing(service)
@@ -133,23 +133,22 @@
 	return true
 }
 
-// checkExposure checks that each daemon's credit bounds what went to versions under trial.
+// checkExposure checks that the requests to versions under trial stay within the daemons' credit.
 func (f *fleet) checkExposure() {
 	const used = 0.8 * testShare
-	for order, exposed := range f.trials {
+	for order, exposed := range f.trialRequests {
 		routes := 2
-		if allowed := used*float64(f.bases[order]) + float64(routes*f.lives); float64(exposed) > allowed {
-			f.violate("order %d: %d of %d requests exposed, %.1f are allowed", order, exposed, f.bases[order], allowed)
+		if allowed := used*float64(f.stableAndTrialRequests[order]) + float64(routes*f.starts); float64(exposed) > allowed {
+			f.violate("order %d: %d of %d requests exposed, %.1f are allowed", order, exposed, f.stableAndTrialRequests[order], allowed)
 		}
 	}
 }
 
-// TestRollOutsHoldUnderFaults gives orders among daemons that are cut off, killed and paused, with
-// a store that is away, slow, turns daemons away and loses answers. At each sending and writing the
-// fleet checks that no version gets requests without an order, or after it has ended, that a
-// daemon exposes nothing without enough collectors or after a stop that it could have heard, and
-// that an order is completed only while nothing is under way at the old back ends. Once the faults
-// are over all orders end.
+// TestRollOutsHoldUnderFaults runs orders while daemons are disconnected, killed and paused, and while the store
+// is down, slow, turns daemons away or loses answers. The fleet checks with each request and write that no
+// version gets requests without an order or after its back ends have ended, that no daemon exposes requests
+// without enough collectors or after a stop that could have reached it, and that an order is only completed while
+// no requests are in progress at the old back ends. After the faults all orders must end.
 func TestRollOutsHoldUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		count, seed := rapid.IntRange(7, 12).Draw(rt, "daemons"), rapid.Uint64().Draw(rt, "seed")
@@ -159,7 +158,7 @@
 		var ended bool
 		synctest.Test(t, func(*testing.T) {
 			played = newFleet(seed, count, services...)
-			played.badness["bad"] = 0.9
+			played.failureRates["bad"] = 0.9
 			played.network.Lose(0.01)
 			played.run(time.Second)
 			played.order(testService, newVersion, testDuration)
@@ -167,14 +166,14 @@
 				played.run(each.pause)
 				played.disturb(each)
 			}
-			played.mend()
-			ended = played.until(2*testDuration+patience, played.allEnded)
+			played.repair()
+			ended = played.until(2*testDuration+recoveryTime, played.allEnded)
 			played.run(time.Second)
 			played.settle()
 			played.checkExposure()
 		})
 		if len(played.violations) > 0 || !ended {
-			// A run is not wholly determined by its draws: what it showed is kept.
+			// A run isn't fully determined by its draws, so its details are logged.
 			t.Logf("%d daemons, seed %d, steps %+v: %v; ended %t; %+v", count, seed, steps, played.violations, ended, played.store.history)
 		}
 		assert.DeepEqual(rt, played.violations, []string(nil))
--- a/internal/rollout/silence_test.go
+++ b/internal/rollout/silence_test.go
@@ -14,36 +14,36 @@
 	"github.com/lotusward/lotusward/internal/peerlink"
 )
 
-// TestStopIsNotHeard keeps stops from a daemon. It gets no grants, and exposes nothing after a
+// TestStopIsNotHeard withholds stops from a daemon. It gets no more grants, and must expose nothing after a
 // second.
 func TestStopIsNotHeard(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		fleet := newQuietFleet(13, 9, testService)
-		fleet.badness["bad"] = 0
+		fleet.failureRates["bad"] = 0
 		fleet.order(testService, "bad", testDuration)
-		assert.Assert(t, fleet.until(testDuration, func() bool { return len(fleet.trials) > 0 }))
+		assert.Assert(t, fleet.until(testDuration, func() bool { return len(fleet.trialRequests) > 0 }))
 		number := fleet.store.standing(testService).Order
 		deaf := fleet.outsider(number)
 		deaf.Handle(peerlink.KindVersionStop, func(string, []byte) {})
 		deaf.Handle(peerlink.KindVersionStanding, func(string, []byte) {})
 		peerlink.HandleDecoded(deaf, peerlink.KindVersionGrant, func(from string, got grantMessage) {
 			got.Stopped, got.Standing = false, nil
-			deaf.coordinator.enqueue(func(ctx context.Context, now time.Time) { deaf.coordinator.takeGrant(ctx, now, from, got) })
+			deaf.coordinator.enqueue(func(ctx context.Context, now time.Time) { deaf.coordinator.handleGrant(ctx, now, from, got) })
 		})
 		fleet.store.setDown(true)
-		fleet.badness["bad"] = 0.9
+		fleet.failureRates["bad"] = 0.9
 		assert.Assert(t, fleet.until(5*time.Second, func() bool { return fleet.members[0].coordinator.stops[testService] != nil }))
 		fleet.run(time.Second)
-		exposed := fleet.trials[number]
+		exposed := fleet.trialRequests[number]
 		assert.Assert(t, deaf.coordinator.stops[testService] == nil)
 		fleet.run(2 * time.Second)
-		assert.Equal(t, fleet.trials[number], exposed)
+		assert.Equal(t, fleet.trialRequests[number], exposed)
 		fleet.settle()
 	})
 }
 
-// cutOff cuts some daemons off from the rest and the store, first those that will be no collectors
-// of the next order.
+// cutOff disconnects some daemons from the rest and the store, preferably those that won't be collectors of the
+// next order.
 func (f *fleet) cutOff(count int) {
 	collectors := f.members[0].coordinator.collectorsOf(testService, f.store.version+1)
 	ranked := slices.Clone(f.members)
@@ -55,7 +55,7 @@
 	}
 }
 
-// outsider is a daemon that is no collector of an order, and doesn't read for all.
+// outsider returns a daemon that is neither a collector of an order nor the reader of the store.
 func (f *fleet) outsider(order uint64) *member {
 	collectors := f.members[0].coordinator.collectorsOf(testService, order)
 	index := slices.IndexFunc(f.members, func(each *member) bool {
@@ -64,8 +64,8 @@
 	return f.members[index]
 }
 
-// TestUnseenOrder cuts some daemons off before an order. Where they are fewer than half the others
-// complete it, and they refuse requests by then; two halves don't complete it.
+// TestUnseenOrder disconnects some daemons before an order. If they are fewer than half, the others complete the
+// order, and the disconnected ones must refuse requests by then; two halves must not complete it.
 func TestUnseenOrder(t *testing.T) {
 	for cutOff, completes := range map[int]bool{3: true, 4: false} {
 		t.Run(fmt.Sprint(cutOff), func(t *testing.T) {
@@ -74,24 +74,24 @@
 				fleet.cutOff(cutOff)
 				for _, each := range fleet.members {
 					if each.side.Load() != 0 && !completes {
-						each.rate = 0 // back ends don't show that it may send
+						each.rate = 0 // no requests in progress at back ends reveal that it may send
 					}
 				}
 				fleet.order(testService, newVersion, testDuration)
-				assert.Equal(t, fleet.until(testDuration+patience, fleet.at(testService, rollout.StageCompleted)), completes)
+				assert.Equal(t, fleet.until(testDuration+recoveryTime, fleet.at(testService, rollout.StageCompleted)), completes)
 				fleet.run(time.Second)
 				for _, each := range fleet.members {
 					each.cut(0, false)
 				}
-				assert.Assert(t, fleet.until(patience, func() bool { return fleet.stage(testService).Ended() }))
+				assert.Assert(t, fleet.until(recoveryTime, func() bool { return fleet.stage(testService).Ended() }))
 				fleet.check(t)
 			})
 		})
 	}
 }
 
-// TestUnawareDaemonHoldsCompletion lets a daemon report and hear nothing of the shift, with nothing
-// under way. The order isn't completed while it is heard.
+// TestUnawareDaemonHoldsCompletion has a daemon without requests in progress that sends reports, but doesn't
+// learn of the shift. The order must not be completed while this daemon is heard.
 func TestUnawareDaemonHoldsCompletion(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		fleet := newQuietFleet(22, 7, testService)
@@ -113,12 +113,12 @@
 		unaware.rate = 1
 		fleet.run(200 * time.Millisecond)
 		unaware.storeless.Store(false)
-		assert.Assert(t, fleet.until(patience, fleet.at(testService, rollout.StageCompleted)))
+		assert.Assert(t, fleet.until(recoveryTime, fleet.at(testService, rollout.StageCompleted)))
 		fleet.check(t)
 	})
 }
 
-// TestStopIsRepeated counts what a daemon that knows of a stop tells others, while the order lasts.
+// TestStopIsRepeated counts how often a daemon repeats a stop while the order is active.
 func TestStopIsRepeated(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		fleet := newQuietFleet(23, 7, testService)
@@ -128,15 +128,15 @@
 		var heard atomic.Int64
 		listens := fleet.members[6]
 		listens.Handle(peerlink.KindVersionStop, func(string, []byte) { heard.Add(1) })
-		fleet.members[2].coordinator.noteStop(time.Now(), testService, number, "bad", listens.Address())
+		fleet.members[2].coordinator.recordStop(time.Now(), testService, number, "bad", listens.Address())
 		fleet.run(time.Second)
 		assert.Assert(t, heard.Load() >= 5, "%d", heard.Load())
 		fleet.settle()
 	})
 }
 
-// TestDriverHearsNobody cuts a collector that reaches the store off from all daemons, with evidence
-// that looks good by then. It doesn't shift the service.
+// TestDriverHearsNobody disconnects a collector that can reach the store from all other daemons, with evidence
+// that looks good by then. It must not shift the service.
 func TestDriverHearsNobody(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		fleet := newQuietFleet(18, 7, testService)
@@ -155,13 +155,13 @@
 			}
 		}
 		assert.Assert(t, !fleet.until(testDuration, fleet.at(testService, rollout.StageShift)))
-		assert.Assert(t, fleet.until(patience, fleet.at(testService, rollout.StageRolledBack)))
+		assert.Assert(t, fleet.until(recoveryTime, fleet.at(testService, rollout.StageRolledBack)))
 		fleet.check(t)
 	})
 }
 
-// TestMissedStandingIsTold keeps the news of the shift from a daemon that doesn't reach the store.
-// The collectors' answers tell it.
+// TestMissedStandingIsTold withholds the announcement of the shift from a daemon that can't reach the store. It
+// must learn of the shift from the collectors' answers.
 func TestMissedStandingIsTold(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		fleet := newQuietFleet(19, 7, testService)
@@ -178,7 +178,7 @@
 		}
 		assert.Assert(t, fleet.until(testDuration, fleet.at(testService, rollout.StageShift)))
 		began := time.Now()
-		assert.Assert(t, fleet.until(patience, fleet.at(testService, rollout.StageCompleted)))
+		assert.Assert(t, fleet.until(recoveryTime, fleet.at(testService, rollout.StageCompleted)))
 		assert.Assert(t, time.Since(began) < time.Second, "%v", time.Since(began))
 		fleet.check(t)
 	})
--- a/internal/rollout/standing.go
+++ b/internal/rollout/standing.go
@@ -8,23 +8,23 @@
 	"github.com/lotusward/lotusward/internal/peerlink"
 )
 
-// learn takes in a standing that was written, without waiting.
+// learn passes a standing that was written to the directory, in the background.
 func (c *Coordinator) learn(ctx context.Context, standing rollout.Standing) {
 	go c.options.Directory.Learn(ctx, standing)
 }
 
-// tellStanding tells all daemons of a standing that was written. Who doesn't hear it is told
-// with the answer to its next report.
-func (c *Coordinator) tellStanding(standing rollout.Standing) {
+// broadcastStanding broadcasts a standing that was written. Daemons that miss it learn of it from the answer to their
+// next report.
+func (c *Coordinator) broadcastStanding(standing rollout.Standing) {
 	c.options.Broadcast(peerlink.KindVersionStanding, &standingMessage{Standing: standing})
 }
 
-// hearStanding takes in a standing that another daemon tells.
-func (c *Coordinator) hearStanding(ctx context.Context, _ time.Time, _ string, got standingMessage) {
+// handleStanding adopts a standing that another daemon has broadcast.
+func (c *Coordinator) handleStanding(ctx context.Context, _ time.Time, _ string, got standingMessage) {
 	c.learn(ctx, got.Standing)
 }
 
-// post hands the result of a call to the goroutine of Run; it waits for room.
+// post passes the result of a call to the goroutine of Run. It blocks while the inbox is full.
 func (c *Coordinator) post(ctx context.Context, event func(ctx context.Context, now time.Time)) {
 	select {
 	case c.inbox <- event:
--- a/internal/rollout/stop.go
+++ b/internal/rollout/stop.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// stopInterval is how often a daemon repeats a stop, and stopTargets to how many others,
-	// drawn at random. 340 daemons have all heard of it after three rounds.
+	// stopInterval is how often a daemon repeats a stop, and stopTargets the number of others, drawn at random,
+	// that it is sent to. All of 340 daemons have received it after three rounds.
 	stopInterval = 200 * time.Millisecond
 	stopTargets  = 8
 )
 
-// stop says that an order's target is bad.
+// stop records that an order's target is bad.
 type stop struct {
 	order  uint64
 	reason string
 	dueAt  time.Time
 }
 
-// noteStop takes in that an order's target is bad. Source is the daemon that said so.
-func (c *Coordinator) noteStop(now time.Time, service identity.ServiceName, order uint64, reason, source string) {
+// recordStop records that an order's target is bad. Source is the daemon that reported it.
+func (c *Coordinator) recordStop(now time.Time, service identity.ServiceName, order uint64, reason, source string) {
 	if known := c.stops[service]; known != nil && known.order >= order {
 		return
 	}
@@ -36,13 +36,13 @@
 	if found := c.collectors[service]; found != nil && found.order == order {
 		log = log.WithFields(logrus.Fields{"answers": found.verdict.Answers, "bad_answers": found.verdict.BadAnswers, "daemons": len(found.daemons)})
 	}
-	log.Warn("A version is bad. It gets no requests any more.")
+	log.Warn("The target of an order is bad; it gets no more requests.")
 	if source == c.self {
 		c.options.Broadcast(peerlink.KindVersionStop, &stopMessage{Service: service, Order: order, Reason: reason})
 	}
 }
 
-// repeatStop tells some others of the stop of the order under way, when that is due.
+// repeatStop sends the stop of the active order to some other daemons, if it is due.
 func (c *Coordinator) repeatStop(now time.Time, service identity.ServiceName, order uint64) {
 	known, others := c.stops[service], c.options.Others()
 	if known == nil || known.order != order || now.Before(known.dueAt) || len(others) == 0 {
@@ -55,7 +55,7 @@
 	}
 }
 
-// hearStop takes in another daemon's stop.
-func (c *Coordinator) hearStop(_ context.Context, now time.Time, from string, got stopMessage) {
-	c.noteStop(now, got.Service, got.Order, got.Reason, from)
+// handleStop processes a stop that another daemon has sent.
+func (c *Coordinator) handleStop(_ context.Context, now time.Time, from string, got stopMessage) {
+	c.recordStop(now, got.Service, got.Order, got.Reason, from)
 }
--- a/internal/rollout/storefault_test.go
+++ b/internal/rollout/storefault_test.go
@@ -9,18 +9,18 @@
 	"github.com/lotusward/lotusward/internal/core/rollout"
 )
 
-// TestStoreDown keeps the store away from within the trial. The trial goes on, a bad version is
-// stopped, and after the confirmation limit requests are refused until the store is back.
+// TestStoreDown takes the store down during a trial. The trial must continue, a bad version must be stopped, and
+// after the confirmation limit requests must be refused until the store is back.
 func TestStoreDown(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		fleet := newQuietFleet(5, 12, testService, "apps")
-		fleet.badness[newVersion] = 0
+		fleet.failureRates[newVersion] = 0
 		order := fleet.order(testService, newVersion, testDuration)
 		fleet.run(1200 * time.Millisecond)
 		bad := fleet.order("apps", "bad", testDuration)
 		assert.Assert(t, fleet.until(3*time.Second, fleet.at("apps", rollout.StageTrial)))
 		fleet.store.setDown(true)
-		exposed := fleet.trials[order]
+		exposed := fleet.trialRequests[order]
 		stopped := func() bool {
 			for _, each := range fleet.members {
 				if stop := each.coordinator.stops["apps"]; stop == nil || stop.order != bad {
@@ -30,7 +30,7 @@
 			return true
 		}
 		assert.Assert(t, fleet.until(3500*time.Millisecond, stopped))
-		assert.Assert(t, fleet.trials[order] > exposed)
+		assert.Assert(t, fleet.trialRequests[order] > exposed)
 		assert.Equal(t, fleet.stage("apps"), rollout.StageTrial)
 		fleet.run(5 * time.Second)
 		refused, served := fleet.members[0].refused, fleet.members[0].served
@@ -39,13 +39,13 @@
 		assert.Equal(t, fleet.members[0].served, served)
 		fleet.store.setDown(false)
 		assert.Assert(t, fleet.until(time.Second, fleet.at("apps", rollout.StageRolledBack)))
-		assert.Assert(t, fleet.until(patience, fleet.at(testService, rollout.StageCompleted)))
+		assert.Assert(t, fleet.until(recoveryTime, fleet.at(testService, rollout.StageCompleted)))
 		fleet.check(t)
 	})
 }
 
-// TestStoreDownWithoutOrder keeps the store away from daemons that have nothing to tell each other.
-// None refuses; one that is cut off from them does.
+// TestStoreDownWithoutOrder takes the store down while there is no order, so that daemons exchange no reports.
+// Only a daemon that is disconnected from the others may refuse requests.
 func TestStoreDownWithoutOrder(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		fleet := newQuietFleet(24, 9, testService)
@@ -60,7 +60,7 @@
 	})
 }
 
-// TestStoreTroubles lets the store be slow, lose answers after writes, and turn daemons away.
+// TestStoreTroubles covers a store that is slow, loses answers after writes, or turns daemons away.
 func TestStoreTroubles(t *testing.T) {
 	troubles := map[string]func(*fleet){
 		"slow":         func(f *fleet) { f.store.setDelay(800 * time.Millisecond) },
@@ -70,7 +70,7 @@
 			for _, each := range f.members[:len(f.members)-2] {
 				each.storeless.Store(true)
 			}
-			// Daemons are told what the others read.
+			// The remaining daemons pass on what they read.
 			f.relayChecks = true
 		},
 	}
@@ -80,7 +80,7 @@
 				fleet := newQuietFleet(6, 7, testService)
 				trouble(fleet)
 				fleet.order(testService, newVersion, testDuration)
-				assert.Assert(t, fleet.until(testDuration+patience, fleet.at(testService, rollout.StageCompleted)))
+				assert.Assert(t, fleet.until(testDuration+recoveryTime, fleet.at(testService, rollout.StageCompleted)))
 				assert.Assert(t, fleet.store.writes <= 8, "%d writes", fleet.store.writes)
 				fleet.run(time.Second)
 				fleet.check(t)
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestOrdersBeforeTheFirstStanding gives two orders before the store takes the first standing: the
-// second names the version that serves.
+// TestOrdersBeforeTheFirstStanding gives two orders before the store accepts the first standing; the second one
+// names the version that serves.
 func TestOrdersBeforeTheFirstStanding(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		fleet := newFleet(17, 7, testService)
@@ -101,14 +101,14 @@
 		fleet.order(testService, oldVersion, testDuration)
 		fleet.run(time.Second)
 		fleet.store.readOnly = false
-		assert.Assert(t, fleet.until(patience, func() bool { return fleet.stage(testService).Ended() && fleet.store.standing(testService).Order > 0 }))
+		assert.Assert(t, fleet.until(recoveryTime, func() bool { return fleet.stage(testService).Ended() && fleet.store.standing(testService).Order > 0 }))
 		assert.Equal(t, fleet.store.standing(testService).Stable, oldVersion)
 		fleet.check(t)
 	})
 }
 
-// TestLostAnswerIsReadBack loses the answer to the writing of the shift, while nobody else reads the
-// store.
+// TestLostAnswerIsReadBack loses the answer to the write of the shift while no daemon polls the store: the writer
+// must read the result back.
 func TestLostAnswerIsReadBack(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		fleet := newQuietFleet(20, 7, testService)
@@ -127,9 +127,8 @@
 	})
 }
 
-// TestFirstStandingIsWrittenAtOnce has a store that goes away soon after the daemons have begun: by
-// then it is written which version is stable, so that daemons that begin during the next order
-// know it.
+// TestFirstStandingIsWrittenAtOnce checks that the stable version is written soon after the daemons have started,
+// so that daemons that start during the next order know it even if the store has failed in between.
 func TestFirstStandingIsWrittenAtOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		fleet := newFleet(12, 7, testService, "apps")
--- a/internal/rollout/table.go
+++ b/internal/rollout/table.go
@@ -10,22 +10,22 @@
 // Status is the state of a service's versions at this daemon, for operators.
 type Status struct {
 	Service identity.ServiceName
-	// Stable and Target are versions; Target is of the newest order that was begun.
+	// Stable and Target are versions; Target is that of the newest order that was begun.
 	Stable, Target identity.SoftwareVersion
 	Order          uint64
 	Stage          rollout.Stage
 	Reason         string
-	// Exposing is set while requests may go to a target under trial.
+	// Exposing is set while the target under trial may get requests.
 	Exposing bool
-	// ShareNow and ShareTotal are the target's shares (0 to 1) of this daemon's sendings, of the
-	// last seconds and since the order began.
+	// ShareNow and ShareTotal are the target's shares (0 to 1) of the requests that this daemon has sent, over
+	// the last seconds and since the order began.
 	ShareNow, ShareTotal float64
-	// Routes are the answers by route: those of all daemons at a collector, elsewhere its own.
+	// Routes are the answers by route: at a collector those of all daemons (Pooled), elsewhere this daemon's own.
 	Routes []RouteStatus
 	Pooled bool
 }
 
-// RouteStatus is how requests on a route ended at both versions. Slow ones count as bad.
+// RouteStatus holds the results of both versions on a route. Slow answers count as bad.
 type RouteStatus struct {
 	Route                                        string
 	StableGood, StableBad, TargetGood, TargetBad int
@@ -42,9 +42,9 @@
 }
 
 func (c *Coordinator) status(now time.Time, service identity.ServiceName) Status {
-	believed := c.options.Directory.Software(service)
-	standing, shared := believed.Standing, c.traffic(service)
-	stable := c.stable(service, believed, shared)
+	state := c.options.Directory.Software(service)
+	standing, shared := state.Standing, c.traffic(service)
+	stable := c.stableVersion(service, state, shared)
 	shared.mutex.Lock()
 	defer shared.mutex.Unlock()
 	status := Status{
--- a/internal/rollout/wire_test.go
+++ b/internal/rollout/wire_test.go
@@ -6,7 +6,8 @@
 	"github.com/lotusward/lotusward/internal/wiretest"
 )
 
-// TestOtherBuildsAreUnderstood holds what passes to other builds to the bytes that they write.
+// TestOtherBuildsAreUnderstood checks that messages of other builds can be read, and that the present format is
+// that of a recorded build.
 func TestOtherBuildsAreUnderstood(t *testing.T) {
 	wiretest.Datagram[reportMessage](t, "version_report", nil)
 	wiretest.Datagram[grantMessage](t, "version_grant", nil)
