--- a/internal/core/rollout/comparison_test.go
+++ b/internal/core/rollout/comparison_test.go
@@ -14,35 +14,36 @@
 
 var draws = flag.Int("rollout.draws", 20, "how often each trial is drawn")
 
-// answersPerLook is the number of all answers between two looks: a fifth of a second at 700 a second.
+// answersPerLook is the number of answers between two comparisons: those of a fifth of a second at 700 a second.
 const answersPerLook = 140
 
-// world draws the answers of a service during a trial, as a collector sees them.
-type world struct {
+// simulation draws the answers of a service during a trial, as a collector sees them.
+type simulation struct {
 	random        *rand.Rand
 	stable, trial []backend
-	// failed and slow are shares of the answers of sound back ends.
+	// failed and slow are the shares of failed and slow answers of sound back ends.
 	failed, slow float64
-	// version gives the target's own shares, by route and how much of the trial is past.
+	// version returns the shares that the target's version adds, by route and elapsed share of the trial.
 	version func(route int, past float64) (failed, slow float64)
-	// disturb changes the world before an answer.
-	disturb func(w *world, past float64)
+	// disturb changes the simulation before an answer.
+	disturb func(w *simulation, past float64)
 }
 
-// backend is a back end with its own faults, as shares of its answers; the next lost ones fail.
+// backend is a back end with its own shares of failed and slow answers; its next lost answers fail.
 type backend struct {
 	key          uint64
 	failed, slow float64
 	lost         int
 }
 
-// newWorld draws a service with so many back ends in the trial, of which a share is faulty.
-func newWorld(seed uint64, trial int, faulty float64) *world {
+// newSimulation draws a service with a number of back ends in the trial and ten times as many stable ones, of
+// which a share is faulty.
+func newSimulation(seed uint64, trial int, faulty float64) *simulation {
 	random := rand.New(rand.NewPCG(seed, uint64(trial)))
-	return &world{
+	return &simulation{
 		random: random, stable: drawBackends(random, 10*trial, faulty), trial: drawBackends(random, trial, faulty),
 		failed: 0.004, slow: 0.01,
-		version: after(0, 0, 0), disturb: func(*world, float64) {},
+		version: after(0, 0, 0), disturb: func(*simulation, float64) {},
 	}
 }
 
@@ -61,8 +62,8 @@
 	return drawn
 }
 
-// result draws an answer's result, and whether the version made it bad.
-func (w *world) result(on *backend, failed, slow float64) (result Result, own bool) {
+// result draws the result of an answer, and reports whether the version itself made it bad.
+func (w *simulation) result(on *backend, failed, slow float64) (result Result, own bool) {
 	happens := func(share float64) bool { return w.random.Float64() < share }
 	on.lost--
 	switch {
@@ -79,9 +80,9 @@
 	}
 }
 
-// run plays a trial of a number of the target's answers, and returns the last verdict and the
-// number of answers that the version itself had made bad by then.
-func (w *world) run(answers int) (verdict Verdict, bad int) {
+// run simulates a trial with a number of the target's answers. It returns the last verdict, and the number of
+// answers that the version itself had made bad by then.
+func (w *simulation) run(answers int) (verdict Verdict, bad int) {
 	daemons, monitor := make([]Evidence, 20), &Monitor{}
 	for sent, all := 0, 0; sent < answers; all++ {
 		past := float64(sent) / float64(answers)
@@ -132,33 +133,33 @@
 	}
 }
 
-// TestBadVersionsAreFound draws versions of each kind, with sound back ends and with faulty ones
-// on both sides. Bad answers count up to the look that found the version; between two looks a
-// version at which most are slow gives nine.
+// TestBadVersionsAreFound checks how many bad answers it takes to reject bad versions of each kind, with and
+// without faulty back ends on both sides. Bad answers are counted up to the comparison that rejects the version;
+// a mostly slow version gives nine between two comparisons.
 func TestBadVersionsAreFound(t *testing.T) {
-	type bars struct {
+	type limits struct {
 		answers, median int
-		// by50 is how many in 100 are found at 50 bad answers at the latest. Of few draws one may
-		// be missing.
+		// by50 is the percentage that is rejected by 50 bad answers at the latest. One miss is allowed in small
+		// samples.
 		by50 int
 	}
 	for name, each := range map[string]struct {
 		version func(route int, past float64) (failed, slow float64)
-		bars
+		limits
 	}{
-		"5 in 100 fail":                        {after(0, 0.05, 0), bars{1500, 25, 95}},
-		"30 in 100 fail":                       {after(0, 0.3, 0), bars{300, 25, 98}},
-		"three times slower":                   {after(0, 0, 0.8), bars{300, 25, 98}},
-		"5 in 100 fail on one route":           {onRoute(1, 0, 0.05, 0), bars{1500, 25, 65}},
-		"5 in 100 fail after a third":          {after(0.34, 0.05, 0), bars{1500, 35, 80}},
-		"30 in 100 fail after a third":         {after(0.34, 0.3, 0), bars{1500, 25, 98}},
-		"30 in 100 fail after a third, few":    {after(0.34, 0.3, 0), bars{300, 25, 95}},
-		"slower after a third":                 {after(0.34, 0, 0.8), bars{1500, 30, 98}},
-		"30 in 100 fail from half load":        {after(0.5, 0.3, 0), bars{1500, 25, 98}},
-		"slower from half load":                {after(0.5, 0, 0.8), bars{1500, 30, 98}},
-		"30 in 100 fail on a small route":      {onRoute(2, 0, 0.3, 0), bars{1500, 25, 98}},
-		"slower on one route":                  {onRoute(1, 0, 0, 0.8), bars{300, 25, 98}},
-		"30 in 100 fail on one route, a third": {onRoute(1, 0.34, 0.3, 0), bars{1500, 25, 98}},
+		"5 in 100 fail":                        {after(0, 0.05, 0), limits{1500, 25, 95}},
+		"30 in 100 fail":                       {after(0, 0.3, 0), limits{300, 25, 98}},
+		"three times slower":                   {after(0, 0, 0.8), limits{300, 25, 98}},
+		"5 in 100 fail on one route":           {onRoute(1, 0, 0.05, 0), limits{1500, 25, 65}},
+		"5 in 100 fail after a third":          {after(0.34, 0.05, 0), limits{1500, 35, 80}},
+		"30 in 100 fail after a third":         {after(0.34, 0.3, 0), limits{1500, 25, 98}},
+		"30 in 100 fail after a third, few":    {after(0.34, 0.3, 0), limits{300, 25, 95}},
+		"slower after a third":                 {after(0.34, 0, 0.8), limits{1500, 30, 98}},
+		"30 in 100 fail from half load":        {after(0.5, 0.3, 0), limits{1500, 25, 98}},
+		"slower from half load":                {after(0.5, 0, 0.8), limits{1500, 30, 98}},
+		"30 in 100 fail on a small route":      {onRoute(2, 0, 0.3, 0), limits{1500, 25, 98}},
+		"slower on one route":                  {onRoute(1, 0, 0, 0.8), limits{300, 25, 98}},
+		"30 in 100 fail on one route, a third": {onRoute(1, 0.34, 0.3, 0), limits{1500, 25, 98}},
 	} {
 		for _, trial := range []int{3, 11} {
 			for _, faulty := range []float64{0, 0.14} {
@@ -166,7 +167,7 @@
 					t.Parallel()
 					var found []int
 					for seed := range uint64(*draws) {
-						drawn := newWorld(seed, trial, faulty)
+						drawn := newSimulation(seed, trial, faulty)
 						drawn.version = each.version
 						verdict, bad := drawn.run(each.answers)
 						if !verdict.Bad {
@@ -185,17 +186,17 @@
 	}
 }
 
-// TestGoodVersionsPass draws versions that are as good as the stable one, with all that may happen
-// to either, or by chance only to the target.
+// TestGoodVersionsPass checks that versions as good as the stable one are promoted, under disturbances that
+// affect both versions, or by chance only the target.
 func TestGoodVersionsPass(t *testing.T) {
 	var failed, all atomic.Int64
 	t.Run("draws", func(t *testing.T) {
 		for name, each := range map[string]struct {
 			faulty  float64
-			disturb func(w *world, past float64)
+			disturb func(w *simulation, past float64)
 		}{
-			"calm":                {0, func(*world, float64) {}},
-			"faulty back ends":    {0.14, func(*world, float64) {}},
+			"calm":                {0, func(*simulation, float64) {}},
+			"faulty back ends":    {0.14, func(*simulation, float64) {}},
 			"faulty in the trial": {0, faultyInTrial},
 			"crashes":             {0.05, crashes},
 			"hot key":             {0.05, hotKey},
@@ -208,7 +209,7 @@
 						t.Parallel()
 						bad, passed := 0, 0
 						for seed := range uint64(*draws) {
-							drawn := newWorld(seed, trial, each.faulty)
+							drawn := newSimulation(seed, trial, each.faulty)
 							drawn.disturb = each.disturb
 							verdict, _ := drawn.run(answers)
 							if verdict.Bad {
@@ -230,8 +231,8 @@
 	assert.Assert(t, failed.Load()*100 <= all.Load(), "%d of %d", failed.Load(), all.Load())
 }
 
-// faultyInTrial makes one trial back end of three faulty, or two of eleven, and none of the others.
-func faultyInTrial(w *world, past float64) {
+// faultyInTrial makes one of three trial back ends faulty, or two of eleven, and none of the others.
+func faultyInTrial(w *simulation, past float64) {
 	if past > 0 {
 		return
 	}
@@ -241,8 +242,8 @@
 	}
 }
 
-// crashes ends each back end once in 100,000 answers with five requests under way; another begins.
-func crashes(w *world, _ float64) {
+// crashes replaces each back end once in 100,000 answers, and fails the five requests in progress.
+func crashes(w *simulation, _ float64) {
 	for _, all := range [][]backend{w.stable, w.trial} {
 		if w.random.Float64() < float64(len(all))/100_000 {
 			*pick(w.random, all) = backend{key: w.random.Uint64(), lost: 5}
@@ -250,16 +251,16 @@
 	}
 }
 
-// hotKey makes a third of all answers slow for a while.
-func hotKey(w *world, past float64) {
+// hotKey makes 30 % of all answers slow for a while.
+func hotKey(w *simulation, past float64) {
 	w.slow = 0.01
 	if past > 0.3 && past < 0.5 {
 		w.slow = 0.3
 	}
 }
 
-// emptyCaches makes some of the target's first answers slow.
-func emptyCaches(w *world, past float64) {
+// emptyCaches makes 3 % of the target's first answers slow.
+func emptyCaches(w *simulation, past float64) {
 	if past < 0.1 {
 		w.version = after(0, 0, 0.03)
 		return
@@ -267,9 +268,9 @@
 	w.version = after(0, 0, 0)
 }
 
-// weightsAreLoaded makes a fifth of the answers of one back end in ten slow, one after the other:
-// one that loads gets no requests, and comes back with empty caches.
-func weightsAreLoaded(w *world, past float64) {
+// weightsAreLoaded makes a fifth of the answers of one back end in ten slow, one after the other: a back end gets
+// no requests while it loads weights, and has empty caches afterwards.
+func weightsAreLoaded(w *simulation, past float64) {
 	for _, all := range [][]backend{w.stable, w.trial} {
 		for index := range all {
 			if all[index].slow < 0.9 {
@@ -282,9 +283,8 @@
 	}
 }
 
-// TestSmallServices draws a version of which 30 in 100 fail, and a dead one, where the trial has
-// few answers or back ends. The dead one is never promoted; the other one can't be told from a
-// good one by 8 answers of three back ends.
+// TestSmallServices simulates trials with few answers or back ends. A version that fails every answer must never
+// be promoted; one that fails 30 % can't be told from a good one by 8 answers of three back ends.
 func TestSmallServices(t *testing.T) {
 	for _, each := range []struct {
 		failed            float64
@@ -293,7 +293,7 @@
 	}{{1, 1, 4, 0, 100}, {1, 2, 8, 0, 100}, {1, 3, 8, 0, 100}, {0.3, 1, 30, 5, 100}, {0.3, 3, 30, 40, 100}, {0.3, 3, 8, 90, 100}} {
 		promoted := 0
 		for seed := range uint64(each.ofTotal) {
-			drawn := newWorld(seed, each.trial, 0)
+			drawn := newSimulation(seed, each.trial, 0)
 			drawn.version = after(0, each.failed, 0)
 			if verdict, _ := drawn.run(each.answers); verdict.Enough {
 				promoted++
@@ -304,7 +304,7 @@
 	}
 }
 
-// TestVerdictSaysWhatWasSeen compares evidence that leaves no doubt.
+// TestVerdictSaysWhatWasSeen checks the verdict and its reason for clear evidence.
 func TestVerdictSaysWhatWasSeen(t *testing.T) {
 	var evidence Evidence
 	assert.Equal(t, Compare(evidence), Verdict{Enough: true})
@@ -321,14 +321,14 @@
 	})
 }
 
-// TestTargetIsWatchedAfterTheTrial lets all requests go to a version that was good under trial: it
-// may be a little slower in a busy moment, but is found where it fails or most answers are slow.
+// TestTargetIsWatchedAfterTheTrial sends all requests to a version that was good under trial. Slightly more slow
+// answers under load must not reject it, but failures or mostly slow answers must.
 func TestTargetIsWatchedAfterTheTrial(t *testing.T) {
 	for _, each := range []struct {
 		failed, slow float64
 		bad          bool
 	}{{0, 0.03, false}, {0.05, 0, true}, {0.3, 0, true}, {0, 0.8, true}} {
-		drawn, monitor := newWorld(1, 11, 0), &Monitor{}
+		drawn, monitor := newSimulation(1, 11, 0), &Monitor{}
 		var pooled Evidence
 		for number := range 12_000 {
 			target := number%12 == 0
--- a/internal/core/rollout/next_test.go
+++ b/internal/core/rollout/next_test.go
@@ -10,10 +10,10 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// rank orders the stages of one order.
+// rank orders the stages of one order, independently of Stage.rank.
 var rank = map[Stage]int{StageTrial: 1, StageShift: 2, StageCompleted: 3, StageRolledBack: 3}
 
-// checkStep compares two standings that follow each other, by what must hold whatever happens.
+// checkStep checks the invariants of two consecutive standings.
 func checkStep(t assert.TestingT, facts Facts, before, after Standing) {
 	same := before.Order == after.Order
 	assert.Assert(t, after.Order >= before.Order, "an older order")
@@ -35,7 +35,7 @@
 	case StageShift:
 		if changes {
 			assert.Assert(t, facts.Verdict.Enough && !facts.Verdict.Bad && !facts.Stopped && before.Stage == StageTrial)
-			assert.Assert(t, facts.Covered || facts.Verdict.Answers >= loneAnswers)
+			assert.Assert(t, facts.Covered || facts.Verdict.Answers >= minSampleAnswers)
 			assert.Assert(t, facts.Now < after.Deadline && after.Deadline-facts.Now <= facts.PromotionTime)
 		}
 	case StageRolledBack:
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestStagesOnlyGoForward draws orders, facts and readers that know an older order: what is
-// written keeps to the stages, and ended orders stay ended.
+// TestStagesOnlyGoForward draws orders, facts and readers with outdated orders: every written standing must
+// respect the order of stages, and ended orders must stay ended.
 func TestStagesOnlyGoForward(t *testing.T) {
 	versions := rapid.SampledFrom([]identity.SoftwareVersion{"v1", "v2", "v3"})
 	rapid.Check(t, func(t *rapid.T) {
@@ -64,7 +64,7 @@
 			facts := Facts{
 				Now: now, Service: service, PromotionTime: 4 * time.Second,
 				Listed:  map[identity.SoftwareVersion]int{"v1": rapid.IntRange(0, 2).Draw(t, "v1"), "v2": rapid.IntRange(0, 2).Draw(t, "v2")},
-				Verdict: Verdict{Enough: flag("enough"), Bad: rapid.IntRange(0, 9).Draw(t, "bad") == 0, Reason: "bad", Answers: rapid.IntRange(0, 2*loneAnswers).Draw(t, "answers")},
+				Verdict: Verdict{Enough: flag("enough"), Bad: rapid.IntRange(0, 9).Draw(t, "bad") == 0, Reason: "bad", Answers: rapid.IntRange(0, 2*minSampleAnswers).Draw(t, "answers")},
 				Covered: flag("covered"), Stopped: stopped[service.Standing.Order], Acknowledged: flag("acknowledged"), Quorum: flag("quorum"), Idle: flag("idle"),
 			}
 			next, write := Next(facts)
@@ -78,7 +78,7 @@
 	})
 }
 
-// scenario is a service under an order of 30 seconds, with what is found about it.
+// scenario returns the facts of a service with an order of 30 seconds, in which every condition is met.
 func scenario() Facts {
 	return Facts{
 		Service: Service{
@@ -90,8 +90,8 @@
 	}
 }
 
-// write plays one step, which is to be written with a stage.
-func write(t *testing.T, facts *Facts, want Stage) {
+// assertWritten runs one step, which has to write a standing with a stage.
+func assertWritten(t *testing.T, facts *Facts, want Stage) {
 	t.Helper()
 	next, written := Next(*facts)
 	assert.Assert(t, written)
@@ -100,40 +100,41 @@
 	facts.Service.Standing.Row++
 }
 
-func keeps(t *testing.T, facts Facts) {
+func assertNoWrite(t *testing.T, facts Facts) {
 	t.Helper()
 	next, written := Next(facts)
 	assert.Assert(t, !written, "%v", next)
 }
 
-// TestGoodVersionIsPromotedLate plays an order from its begin to its end.
+// TestGoodVersionIsPromotedLate follows an order to its completion. The shift must wait until the promotion time
+// before the deadline.
 func TestGoodVersionIsPromotedLate(t *testing.T) {
 	facts := scenario()
 	facts.Service.Standing = Standing{Service: "chat"}
-	write(t, &facts, StageNone)
+	assertWritten(t, &facts, StageNone)
 	assert.Equal(t, facts.Service.Standing.Stable, identity.SoftwareVersion("v1"))
-	write(t, &facts, StageTrial)
+	assertWritten(t, &facts, StageTrial)
 	assert.Equal(t, facts.Service.Standing.Deadline, 130*time.Second)
 	facts.Now = 125*time.Second - 1
-	keeps(t, facts)
+	assertNoWrite(t, facts)
 	facts.Now = 125 * time.Second
 	facts.Quorum = false
-	keeps(t, facts)
+	assertNoWrite(t, facts)
 	facts.Quorum = true
-	write(t, &facts, StageShift)
+	assertWritten(t, &facts, StageShift)
 	facts.Now = 140 * time.Second
 	for _, missing := range []*bool{&facts.Acknowledged, &facts.Idle, &facts.Quorum} {
 		*missing = false
-		keeps(t, facts)
+		assertNoWrite(t, facts)
 		*missing = true
 	}
-	write(t, &facts, StageCompleted)
+	assertWritten(t, &facts, StageCompleted)
 	assert.Equal(t, facts.Service.Standing.Stable, identity.SoftwareVersion("v2"))
 	facts.Stopped = true
-	keeps(t, facts)
+	assertNoWrite(t, facts)
 }
 
-// TestRollbacks plays what ends an order early, or at its deadline.
+// TestRollbacks covers everything that ends an order early, or at its deadline.
 func TestRollbacks(t *testing.T) {
 	for name, change := range map[string]func(*Facts){
 		"stopped":        func(facts *Facts) { facts.Stopped = true },
@@ -144,22 +145,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			facts := scenario()
-			write(t, &facts, StageTrial)
+			assertWritten(t, &facts, StageTrial)
 			change(&facts)
-			write(t, &facts, StageRolledBack)
+			assertWritten(t, &facts, StageRolledBack)
 			assert.Equal(t, facts.Service.Standing.Stable, identity.SoftwareVersion("v1"))
-			keeps(t, facts)
+			assertNoWrite(t, facts)
 		})
 	}
 	facts := scenario()
 	facts.Now = 130 * time.Second
-	write(t, &facts, StageRolledBack)
+	assertWritten(t, &facts, StageRolledBack)
 	facts = scenario()
-	write(t, &facts, StageTrial)
+	assertWritten(t, &facts, StageTrial)
 	facts.Now = 126 * time.Second
-	write(t, &facts, StageShift)
+	assertWritten(t, &facts, StageShift)
 	facts.Stopped = true
-	write(t, &facts, StageRolledBack)
+	assertWritten(t, &facts, StageRolledBack)
 }
 
 // TestNewerOrders replaces an order in each of its stages.
@@ -169,23 +170,23 @@
 		facts.Service.OrderSince = facts.Now
 	}
 	facts := scenario()
-	write(t, &facts, StageTrial)
+	assertWritten(t, &facts, StageTrial)
 	order(&facts, 8, "v3")
-	write(t, &facts, StageTrial)
+	assertWritten(t, &facts, StageTrial)
 	assert.Equal(t, facts.Service.Standing.Target, identity.SoftwareVersion("v3"))
-	order(&facts, 9, "v1") // back
-	write(t, &facts, StageShift)
-	write(t, &facts, StageCompleted)
+	order(&facts, 9, "v1") // back to the stable version
+	assertWritten(t, &facts, StageShift)
+	assertWritten(t, &facts, StageCompleted)
 	order(&facts, 10, "v2")
-	write(t, &facts, StageTrial)
+	assertWritten(t, &facts, StageTrial)
 	facts.Now += 26 * time.Second
-	write(t, &facts, StageShift)
-	order(&facts, 11, "v1") // waits
+	assertWritten(t, &facts, StageShift)
+	order(&facts, 11, "v1") // waits until the shift has ended
 	facts.Idle = false
-	keeps(t, facts)
+	assertNoWrite(t, facts)
 	facts.Idle = true
-	write(t, &facts, StageCompleted)
+	assertWritten(t, &facts, StageCompleted)
 	assert.Equal(t, facts.Service.Standing.Order, uint64(10))
-	write(t, &facts, StageTrial)
+	assertWritten(t, &facts, StageTrial)
 	assert.Equal(t, facts.Service.Standing.Target, identity.SoftwareVersion("v1"))
 }
