--- a/internal/directory/asking.go
+++ b/internal/directory/asking.go
@@ -13,43 +13,43 @@
 
 // Times and numbers of asking other daemons.
 const (
-	// askedAtOnce is how many daemons a starting one asks in a round, and askStagger after how long it asks the next one
+	// maxConcurrentAsks is how many daemons a starting one asks in a round, and askStagger after how long it asks the next one
 	// while no answer has begun: two whole answers at a time would take its link twice.
-	askedAtOnce = 2
-	askStagger  = 100 * time.Millisecond
+	maxConcurrentAsks = 2
+	askStagger        = 100 * time.Millisecond
 	// askPause lies between two rounds of questions. A starting daemon doubles it with each round that brings nobody new to
 	// ask, up to longestAskPause.
-	askPause        = 60 * time.Millisecond
-	longestAskPause = time.Second
+	askPause    = 60 * time.Millisecond
+	maxAskPause = time.Second
 	// A starting daemon reads the store itself after a drawn time of up to joinSpread and
 	// joinPerDaemon times the number of daemons, longestJoin at most: where all start at
 	// once, a few of them are first, and the others hear of these and ask them.
 	joinSpread    = 50 * time.Millisecond
 	joinPerDaemon = 20 * time.Millisecond
-	longestJoin   = 1500 * time.Millisecond
+	maxJoinDelay  = 1500 * time.Millisecond
 	// joinExtension is how much longer it waits since it has last heard of a daemon that reads, longestExtension in all: a
 	// list of thousands takes a small machine seconds.
 	joinExtension    = time.Second
-	longestExtension = 10 * time.Second
-	// otherAsks is how many other daemons are asked where those that surely know are busy.
-	otherAsks = 4
-	// askersEach is how many daemons ask the same one for a new configuration, so that a
+	maxJoinExtension = 10 * time.Second
+	// fallbackAsks is how many other daemons are asked where those that surely know are busy.
+	fallbackAsks = 4
+	// treeFanOut is how many daemons ask the same one for a new configuration, so that a
 	// slow link carries no more.
-	askersEach = 8
+	treeFanOut = 8
 )
 
-// lag is what this daemon lacks of a table, and who told so.
-type lag struct {
+// missingData is what this daemon lacks of a table, and who told so.
+type missingData struct {
 	from  string
 	table table
 	need  Have
 }
 
-// fallBehind has another daemon asked for what this one lacks.
-func (d *Directory) fallBehind(lacking lag) {
-	d.lag.Store(&lacking)
+// requestMissing has another daemon asked for what this one lacks.
+func (d *Directory) requestMissing(lacking missingData) {
+	d.missing.Store(&lacking)
 	select {
-	case d.behind <- struct{}{}:
+	case d.catchUpRequested <- struct{}{}:
 	default:
 	}
 }
@@ -68,29 +68,29 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.behind:
+		case <-d.catchUpRequested:
 		}
-		lacking := d.lag.Load()
-		if err := d.askInTurn(ctx, lacking); err != nil && d.Complete() && lacking.table != "" {
+		lacking := d.missing.Load()
+		if err := d.askCandidates(ctx, lacking); err != nil && d.Complete() && lacking.table != "" {
 			d.options.Log.WithError(err).WithField("table", lacking.table).Info("No daemon tells what this one lacks, which reads the store for it.")
-			d.turn.want(lacking.table)
+			d.role.requestRead(lacking.table)
 		}
 		pause.For(ctx, askPause)
 	}
 }
 
-// askInTurn asks the daemon whose turn it is to tell this one, then the one that is known
+// askCandidates asks the daemon whose turn it is to tell this one, then the one that is known
 // to have what is lacking, and then any others: the first ones may be busy with many. It
 // returns the last one's error where none helped.
-func (d *Directory) askInTurn(ctx context.Context, lacking *lag) error {
+func (d *Directory) askCandidates(ctx context.Context, lacking *missingData) error {
 	if d.options.Peers == nil {
 		return &LackingError{Address: lacking.from}
 	}
 	asked := []string{lacking.from}
-	if parent := d.askedFor(lacking.from); parent != lacking.from && d.Complete() {
+	if parent := d.upstreamOf(lacking.from); parent != lacking.from && d.Complete() {
 		asked = []string{parent, lacking.from}
 	}
-	asked = append(asked, d.anyOthers()...)
+	asked = append(asked, d.randomPeers()...)
 	var err error
 	for round, address := range asked {
 		if round > 0 {
@@ -107,7 +107,7 @@
 }
 
 // caughtUp tells whether bulletins have told meanwhile what was lacking.
-func (d *Directory) caughtUp(lacking *lag) bool {
+func (d *Directory) caughtUp(lacking *missingData) bool {
 	if !d.Complete() {
 		return false
 	}
@@ -121,8 +121,8 @@
 	}
 }
 
-// errNobodyKnown is returned where there is no daemon to ask.
-var errNobodyKnown = errors.New("no other daemon is known")
+// errNoPeers is returned where there is no daemon to ask.
+var errNoPeers = errors.New("no other daemon is known")
 
 // LackingError says that another daemon doesn't know what this one needs.
 type LackingError struct {
@@ -147,7 +147,7 @@
 		return err
 	}
 	snapshot := update.Snapshot
-	list, err := newsOf(&update)
+	list, err := deltaOf(&update)
 	if err != nil {
 		return err
 	}
--- a/internal/directory/asking_test.go
+++ b/internal/directory/asking_test.go
@@ -14,10 +14,10 @@
 	"github.com/lotusward/lotusward/internal/logging"
 )
 
-// lackingPeers know nothing that one could ask them for.
-type lackingPeers struct{}
+// peersWithoutData know nothing that one could ask them for.
+type peersWithoutData struct{}
 
-func (lackingPeers) Update(context.Context, string, Have, func()) (Update, error) {
+func (peersWithoutData) Update(context.Context, string, Have, func()) (Update, error) {
 	return Update{}, nil
 }
 
@@ -26,7 +26,7 @@
 func TestLogSaysWhyNobodyHelped(t *testing.T) {
 	log, lines := logtest.NewNullLogger()
 	follower := New(Options{
-		Pool: backendpool.New("a"), Log: log, Self: "b", Tell: func(Bulletin) {}, Peers: lackingPeers{},
+		Pool: backendpool.New("a"), Log: log, Self: "b", Tell: func(Bulletin) {}, Peers: peersWithoutData{},
 	})
 	declared := declaration(10, 7)
 	follower.apply(message{table: tableDeclared, began: time.Now(), ended: time.Now(), declared: &declared})
@@ -34,7 +34,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go follower.catchUp(ctx)
-	follower.fallBehind(lag{from: "a", table: tableDeclared, need: Have{NeedRowVersion: 12}})
+	follower.requestMissing(missingData{from: "a", table: tableDeclared, need: Have{NeedRowVersion: 12}})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for _, line := range lines.AllEntries() {
 			if line.Data["table"] == tableDeclared && line.Data["error"] != nil {
@@ -51,14 +51,14 @@
 func TestFewStartersReadTheStore(t *testing.T) {
 	const toldAfter, rounds = 150 * time.Millisecond, 50
 	for _, count := range []int{100, 985, 2_000, 10_000} {
-		began, first := 0, longestJoin
+		began, first := 0, maxJoinDelay
 		for range rounds * count {
 			delay := joinDelay(10, count)
 			if delay < toldAfter {
 				began++
 			}
 			first = min(first, delay)
-			assert.Assert(t, delay <= longestJoin)
+			assert.Assert(t, delay <= maxJoinDelay)
 		}
 		mean := float64(began) / rounds
 		t.Logf("of %d daemons %.1f begin within %s", count, mean, toldAfter)
@@ -67,13 +67,13 @@
 	}
 }
 
-// knowingPeers are gone but for one, which tells what a reader believes.
-type knowingPeers struct {
+// singlePeer are gone but for one, which tells what a reader believes.
+type singlePeer struct {
 	reader  *Directory
 	knowing string
 }
 
-func (p knowingPeers) Update(_ context.Context, address string, have Have, begun func()) (Update, error) {
+func (p singlePeer) Update(_ context.Context, address string, have Have, begun func()) (Update, error) {
 	if address != p.knowing {
 		return Update{}, errors.New("gone")
 	}
@@ -83,15 +83,15 @@
 	return update(p.reader, have), nil
 }
 
-// rowsOf finds the daemons whose rows are left.
-type rowsOf []string
+// fixedContacts finds the daemons whose rows are left.
+type fixedContacts []string
 
-func (r rowsOf) Find(context.Context) ([]string, int, error) { return r, len(r) + 1, nil }
+func (r fixedContacts) Find(context.Context) ([]string, int, error) { return r, len(r) + 1, nil }
 
-// refusingRows finds nobody: the store refuses.
-type refusingRows struct{}
+// failingContacts finds nobody: the store refuses.
+type failingContacts struct{}
 
-func (refusingRows) Find(context.Context) ([]string, int, error) {
+func (failingContacts) Find(context.Context) ([]string, int, error) {
 	return nil, 0, errors.New("the store refuses")
 }
 
@@ -99,11 +99,11 @@
 // all: it asks who tells it something. Asking on those of the rows it never came to the other one, and stayed without a
 // configuration for as long as it heard of a reader.
 func TestStarterAsksWhomItHears(t *testing.T) {
-	for name, contacts := range map[string]Contacts{"rows of gone daemons": rowsOf{"a", "b", "c"}, "no rows": refusingRows{}} {
+	for name, contacts := range map[string]Contacts{"rows of gone daemons": fixedContacts{"a", "b", "c"}, "no rows": failingContacts{}} {
 		t.Run(name, func(t *testing.T) {
 			starter := New(Options{
 				Pool: backendpool.New("a"), Log: logging.Discard(), Self: "self", Contacts: contacts,
-				Peers: knowingPeers{reader: readerOf(listOf(3)), knowing: "heard"}, Tell: func(Bulletin) {},
+				Peers: singlePeer{reader: newListReader(listOf(3)), knowing: "heard"}, Tell: func(Bulletin) {},
 			})
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
@@ -134,20 +134,20 @@
 // and more time, one that reads for all after the told time.
 func TestOnlyStartersDrawWhenToCallAgain(t *testing.T) {
 	const told = time.Second
-	reader := New(Options{Pool: backendpool.New("a"), Log: logging.Discard(), Self: "a"}).newRetrying()
-	starters := make([]*retrying, 200)
+	reader := New(Options{Pool: backendpool.New("a"), Log: logging.Discard(), Self: "a"}).newRetryPacer()
+	starters := make([]*retryPacer, 200)
 	for index := range starters {
-		starters[index] = New(Options{Pool: backendpool.New("a"), Log: logging.Discard(), Self: "a"}).newRetrying()
+		starters[index] = New(Options{Pool: backendpool.New("a"), Log: logging.Discard(), Self: "a"}).newRetryPacer()
 		starters[index].amongMany = true
 	}
 	for call := range 6 {
-		assert.Equal(t, reader.drawnSpread(told), time.Duration(0))
+		assert.Equal(t, reader.randomSpread(told), time.Duration(0))
 		first, last := time.Hour, time.Duration(0)
 		for _, starter := range starters {
-			drawn := starter.drawnSpread(told)
+			drawn := starter.randomSpread(told)
 			first, last = min(first, drawn), max(last, drawn)
 		}
-		bound := limitedSpreadFactor * told << min(call, mostLimitedDoublings)
+		bound := limitedSpreadFactor * told << min(call, maxLimitedDoublings)
 		assert.Assert(t, first < bound/4 && last > bound*3/4 && last < bound, "%v to %v of %v", first, last, bound)
 	}
 }
--- a/internal/directory/beginbound_test.go
+++ b/internal/directory/beginbound_test.go
@@ -28,9 +28,9 @@
 	at           time.Time
 }
 
-// boundsWorld is daemons that start, end, read the store and tell each other, over a store that is well
+// boundsSimulation is daemons that start, end, read the store and tell each other, over a store that is well
 // all the time, where versions of a model's weights are named. Its time is its own.
-type boundsWorld struct {
+type boundsSimulation struct {
 	t     *rapid.T
 	began time.Time
 	now   time.Time
@@ -49,9 +49,9 @@
 	read    bool
 }
 
-func newBoundsWorld(t *rapid.T) *boundsWorld {
+func newBoundsSimulation(t *rapid.T) *boundsSimulation {
 	began := time.Now().Add(-time.Hour)
-	world := &boundsWorld{t: t, began: began, now: began, storeVersion: 10, daemons: map[string]*boundsDaemon{}}
+	world := &boundsSimulation{t: t, began: began, now: began, storeVersion: 10, daemons: map[string]*boundsDaemon{}}
 	world.name()
 	for _, name := range []string{"a", "b", "c"} {
 		world.start(name)
@@ -59,20 +59,20 @@
 	return world
 }
 
-func (w *boundsWorld) clockAt(at time.Time) time.Duration {
+func (w *boundsSimulation) clockAt(at time.Time) time.Duration {
 	return 50*time.Second + at.Sub(w.began)
 }
 
-func (w *boundsWorld) draw(most time.Duration, what string) time.Duration {
+func (w *boundsSimulation) draw(most time.Duration, what string) time.Duration {
 	return time.Duration(rapid.Int64Range(0, int64(most)).Draw(w.t, what))
 }
 
-func (w *boundsWorld) pick() *boundsDaemon {
+func (w *boundsSimulation) pick() *boundsDaemon {
 	return w.daemons[rapid.SampledFrom(slices.Sorted(maps.Keys(w.daemons))).Draw(w.t, "daemon")]
 }
 
 // start starts a daemon, in the place of one that has ended.
-func (w *boundsWorld) start(name string) {
+func (w *boundsSimulation) start(name string) {
 	w.daemons[name] = &boundsDaemon{started: w.now, Directory: New(Options{
 		Pool: backendpool.New("a"), Log: logging.Discard(), Self: name, Started: w.now,
 		GuessedNaming: w.now.Add(boundsContact - boundsGrace), SteadyTime: boundsContact, QuietTime: boundsContact,
@@ -81,15 +81,15 @@
 }
 
 // name names the next version.
-func (w *boundsWorld) name() {
+func (w *boundsSimulation) name() {
 	w.storeVersion++
 	w.namings = append(w.namings, naming{version: uint64(len(w.namings) + 1), row: w.storeVersion, at: w.now})
 }
 
-func (w *boundsWorld) newest() naming { return w.namings[len(w.namings)-1] }
+func (w *boundsSimulation) newest() naming { return w.namings[len(w.namings)-1] }
 
 // takes lets a call pass, and returns when it began, when the store answered it, and when it ended.
-func (w *boundsWorld) takes() (began, answered time.Time) {
+func (w *boundsSimulation) takes() (began, answered time.Time) {
 	began = w.now
 	w.now = w.now.Add(w.draw(100*time.Millisecond, "way there"))
 	answered = w.now
@@ -98,7 +98,7 @@
 }
 
 // read has a daemon read what is declared as a whole.
-func (w *boundsWorld) read(daemon *boundsDaemon) {
+func (w *boundsSimulation) read(daemon *boundsDaemon) {
 	began, answered := w.takes()
 	declared := declaration(w.storeVersion, 7)
 	declared.RowVersion, declared.Clock = 10, w.clockAt(answered)
@@ -110,7 +110,7 @@
 }
 
 // confirm has a daemon check whether what it read is still the newest.
-func (w *boundsWorld) confirm(daemon *boundsDaemon) {
+func (w *boundsSimulation) confirm(daemon *boundsDaemon) {
 	if !daemon.read {
 		return
 	}
@@ -123,7 +123,7 @@
 }
 
 // change has a daemon hear of a change of the list.
-func (w *boundsWorld) change(daemon *boundsDaemon) {
+func (w *boundsSimulation) change(daemon *boundsDaemon) {
 	w.storeVersion++
 	began, answered := w.takes()
 	told := Changes{Reading: Reading{Version: w.storeVersion, Clock: w.clockAt(answered)}}
@@ -131,7 +131,7 @@
 }
 
 // tell has a daemon tell another one by a bulletin, or as an answer to its question.
-func (w *boundsWorld) tell(teller, hearer *boundsDaemon) {
+func (w *boundsSimulation) tell(teller, hearer *boundsDaemon) {
 	state := teller.State()
 	if state == nil || teller == hearer {
 		return
@@ -140,19 +140,19 @@
 	asked, _ := w.takes()
 	if hearer.State() != nil {
 		hearer.applyBulletin(w.now, heardBulletin{from: "teller", bulletin: Bulletin{Declared: &DeclaredNews{
-			Clock: known.storeTime(confirmed), StoreVersion: 12, RowVersion: 10, Versions: allSeen(state),
+			Clock: known.storeTime(confirmed), StoreVersion: 12, RowVersion: 10, Versions: seenVersions(state),
 		}}})
 		return
 	}
 	hearer.apply(message{adopted: &adoption{from: "teller", asked: asked, answered: w.now, snapshot: Snapshot{
 		Complete: true, ClockLeast: known.storeTime(asked), ClockMost: known.most(w.now), Confirmed: known.storeTime(confirmed),
-		StoreVersion: 12, RowVersion: 10, Configuration: state.Table.Configuration(), Versions: allSeen(state),
+		StoreVersion: 12, RowVersion: 10, Configuration: state.Table.Configuration(), Versions: seenVersions(state),
 	}}})
 }
 
 // failedCalls has two calls of a daemon fail though the store is well, and another daemon's check
 // confirm that meanwhile.
-func (w *boundsWorld) failedCalls(daemon, other *boundsDaemon) {
+func (w *boundsSimulation) failedCalls(daemon, other *boundsDaemon) {
 	began := w.now
 	w.read(other)
 	w.tell(other, daemon)
@@ -163,7 +163,7 @@
 
 // check holds the bounds of all daemons to the first naming after each version. A daemon is in touch some
 // time after its start: before that it may take any guess.
-func (w *boundsWorld) check() {
+func (w *boundsSimulation) check() {
 	for name, daemon := range w.daemons {
 		state := daemon.State()
 		if state == nil {
@@ -189,7 +189,7 @@
 // the first newer one was named.
 func TestBeginsAreBoundByTheFirstNaming(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		world := newBoundsWorld(t)
+		world := newBoundsSimulation(t)
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			world.now = world.now.Add(world.draw(boundsStep, "pause"))
 			switch rapid.IntRange(0, 8).Draw(t, "step") {
@@ -216,7 +216,7 @@
 }
 
 // keepOrLearn has a daemon leave in the store what it knows of namings, or take over what is there.
-func (w *boundsWorld) keepOrLearn(daemon *boundsDaemon) {
+func (w *boundsSimulation) keepOrLearn(daemon *boundsDaemon) {
 	if rapid.Bool().Draw(w.t, "keeps") {
 		w.kept = daemon.SeenVersions()
 		return
--- a/internal/directory/bulletin.go
+++ b/internal/directory/bulletin.go
@@ -10,13 +10,13 @@
 
 // Bounds of what one bulletin tells of back ends.
 const (
-	// keptBatches is how many readings of changes a bulletin repeats, so that a lost
+	// maxLoggedBatches is how many readings of changes a bulletin repeats, so that a lost
 	// one costs nothing.
-	keptBatches = 3
-	keptChanges = 48
-	// toldPages is into how many bulletins a reading with more changes is cut. Of more still only the version is told, and
+	maxLoggedBatches   = 3
+	maxBulletinChanges = 48
+	// maxChangePages is into how many bulletins a reading with more changes is cut. Of more still only the version is told, and
 	// who hears of it asks for what changed: dozens of datagrams to hundreds of daemons at once fill a link.
-	toldPages = 8
+	maxChangePages = 8
 )
 
 // Bulletin is what a daemon that reads the store tells the others: what it has
@@ -75,15 +75,15 @@
 // pagesOf cuts what one reading changed into pages that fit into a bulletin each. The pages before the last one get
 // versions of their own between those of the reading: each change is a version of the store.
 func pagesOf(read batch, from, to uint64) []changePage {
-	count := (read.size() + keptChanges - 1) / keptChanges
-	if count <= 1 || count > toldPages || to-from < uint64(count) {
+	count := (read.size() + maxBulletinChanges - 1) / maxBulletinChanges
+	if count <= 1 || count > maxChangePages || to-from < uint64(count) {
 		return []changePage{{read, to}}
 	}
 	var pages []changePage
 	for index := range count {
 		page := changePage{to: from + uint64(index) + 1}
-		page.changed, read.changed = cut(read.changed, keptChanges)
-		page.gone, read.gone = cut(read.gone, keptChanges-len(page.changed))
+		page.changed, read.changed = cut(read.changed, maxBulletinChanges)
+		page.gone, read.gone = cut(read.gone, maxBulletinChanges-len(page.changed))
 		pages = append(pages, page)
 	}
 	pages[count-1].to = to
@@ -112,10 +112,10 @@
 	}
 	l.last = to
 	l.batches = append(l.batches, batch{changed: changed, gone: gone})
-	for len(l.batches) > keptBatches || (len(l.batches) > 1 && l.size() > keptChanges) {
+	for len(l.batches) > maxLoggedBatches || (len(l.batches) > 1 && l.size() > maxBulletinChanges) {
 		l.batches = l.batches[1:]
 	}
-	if l.size() > keptChanges {
+	if l.size() > maxBulletinChanges {
 		l.batches = nil
 	}
 }
@@ -151,48 +151,48 @@
 	}
 }
 
-// tellDeclared tells the others what operators have declared as of a time of the
+// broadcastDeclared tells the others what operators have declared as of a time of the
 // store's clock, if this daemon reads for all.
-func (d *Directory) tellDeclared(now time.Time, clock time.Duration) {
-	if !d.turn.readNews(now) || clock == 0 {
+func (d *Directory) broadcastDeclared(now time.Time, clock time.Duration) {
+	if !d.role.noteOwnNews(now) || clock == 0 {
 		return
 	}
 	state := d.state.Load()
 	d.declaredTold, d.declaredToldTo = &DeclaredNews{
-		Clock: clock, StoreVersion: d.positions[tableDeclared].Load(), RowVersion: state.RowVersion, Versions: allSeen(state),
+		Clock: clock, StoreVersion: d.positions[tableDeclared].Load(), RowVersion: state.RowVersion, Versions: seenVersions(state),
 		Software: d.softwareNews(),
 	}, len(d.members.known)
 	d.options.Tell(Bulletin{Declared: d.declaredTold})
 }
 
-// tellNothing tells the others that this daemon reads the store, where operators have
+// broadcastNothingDeclared tells the others that this daemon reads the store, where operators have
 // declared nothing yet.
-func (d *Directory) tellNothing(now time.Time, clock time.Duration) {
-	if d.turn.readNews(now) {
+func (d *Directory) broadcastNothingDeclared(now time.Time, clock time.Duration) {
+	if d.role.noteOwnNews(now) {
 		d.options.Tell(Bulletin{Declared: &DeclaredNews{Clock: clock}})
 	}
 }
 
-// tellTrying tells the others, now and then, that this daemon's calls of the store fail.
-func (d *Directory) tellTrying(now time.Time) {
-	if d.options.Tell == nil || !d.turn.readsForAll() || now.Sub(d.toldTryingAt) < d.options.Interval {
+// broadcastTrying tells the others, now and then, that this daemon's calls of the store fail.
+func (d *Directory) broadcastTrying(now time.Time) {
+	if d.options.Tell == nil || !d.role.readsForAll() || now.Sub(d.toldTryingAt) < d.options.Interval {
 		return
 	}
 	d.toldTryingAt = now
 	d.options.Tell(Bulletin{Trying: true})
 }
 
-// tellBackends tells the others how the list changed, if this daemon reads for all.
-func (d *Directory) tellBackends(now time.Time) {
-	if d.turn.readList(now, tableBackends) {
+// broadcastBackends tells the others how the list changed, if this daemon reads for all.
+func (d *Directory) broadcastBackends(now time.Time) {
+	if d.role.noteOwnRead(now, tableBackends) {
 		d.options.Tell(Bulletin{Backends: d.changeLog.news(d.backends.digest)})
 	}
 }
 
-// tellAgain repeats the last changes of the list, since a datagram may have been lost, and tells from time to time up to
+// rebroadcast repeats the last changes of the list, since a datagram may have been lost, and tells from time to time up to
 // which version it is known.
-func (d *Directory) tellAgain(now time.Time) {
-	if !d.listed.Load() || !d.turn.readsForAll() || d.options.Tell == nil {
+func (d *Directory) rebroadcast(now time.Time) {
+	if !d.listed.Load() || !d.role.readsForAll() || d.options.Tell == nil {
 		return
 	}
 	mark := d.listMark
@@ -219,12 +219,12 @@
 // applyBulletin takes in what another daemon has read.
 func (d *Directory) applyBulletin(now time.Time, heard heardBulletin) {
 	if heard.bulletin.Trying {
-		d.turn.tried(now)
+		d.role.noteFailedTry(now)
 		return
 	}
 	news := heard.bulletin.Declared
 	if news != nil && news.RowVersion == 0 && d.state.Load() == nil {
-		d.turn.heard(now, now, heard.from)
+		d.role.noteNewsFrom(now, now, heard.from)
 		d.waited.Store(&now)
 		return
 	}
@@ -235,25 +235,25 @@
 		return
 	}
 	if news != nil {
-		d.takeDeclared(now, heard.from, news)
+		d.mergeDeclaredNews(now, heard.from, news)
 	}
 	if news := heard.bulletin.Backends; news != nil {
-		d.takeBackends(heard.from, news)
+		d.mergeBackendNews(heard.from, news)
 	}
 	if news := heard.bulletin.Members; news != nil {
-		d.takeMembers(heard.from, news)
+		d.mergeMemberNews(heard.from, news)
 	}
 }
 
-// takeDeclared takes in what operators have declared. A configuration that this daemon
+// mergeDeclaredNews takes in what operators have declared. A configuration that this daemon
 // doesn't have it asks for, and also where the store has come back from a copy: its clock may be another one then, which
 // only an answer bounds. Orders and standings are taken in before anything is confirmed.
-func (d *Directory) takeDeclared(now time.Time, from string, news *DeclaredNews) {
-	d.takeSoftware(news.Software, news.StoreVersion)
+func (d *Directory) mergeDeclaredNews(now time.Time, from string, news *DeclaredNews) {
+	d.mergeSoftware(news.Software, news.StoreVersion)
 	state := d.state.Load()
 	if port.EraOf(news.StoreVersion) > port.EraOf(d.positions[tableDeclared].Load()) {
 		d.noteNews(now, now, from)
-		d.fallBehind(lag{from: from, table: tableDeclared, need: Have{NeedRowVersion: news.RowVersion}})
+		d.requestMissing(missingData{from: from, table: tableDeclared, need: Have{NeedRowVersion: news.RowVersion}})
 		return
 	}
 	at, known := d.freshness[tableDeclared].localTime(news.Clock)
@@ -262,15 +262,15 @@
 		return
 	case at.After(now):
 		// A time to come shows that the store's clock was last read from an outdated answer.
-		d.turn.want(tableDeclared)
+		d.role.requestRead(tableDeclared)
 		return
 	}
 	d.noteNews(now, at, from)
 	if news.RowVersion > state.RowVersion {
-		d.fallBehind(lag{from: from, table: tableDeclared, need: Have{NeedRowVersion: news.RowVersion}})
+		d.requestMissing(missingData{from: from, table: tableDeclared, need: Have{NeedRowVersion: news.RowVersion}})
 		return
 	}
-	if d.takeVersions(now, news) {
+	if d.mergeVersions(now, news) {
 		d.publishVersions()
 	}
 	advance(d.positions[tableDeclared], news.StoreVersion)
@@ -280,30 +280,30 @@
 // noteNews notes that another daemon had read the store at a time. A bulletin that was held
 // up on the way is news of that time alone.
 func (d *Directory) noteNews(now, at time.Time, from string) {
-	if d.turn.heard(now, at, from) {
+	if d.role.noteNewsFrom(now, at, from) {
 		d.options.Log.WithField("reader", from).Info("Another daemon reads the store for all.")
 	}
 }
 
-// takeVersions remembers the versions that were told. It returns true when any was
+// mergeVersions remembers the versions that were told. It returns true when any was
 // not known, or was guessed before.
-func (d *Directory) takeVersions(now time.Time, news *DeclaredNews) bool {
+func (d *Directory) mergeVersions(now time.Time, news *DeclaredNews) bool {
 	changed := false
 	for _, seen := range news.Versions {
-		changed = d.nameVersion(now, seen.Model, d.asTold(now, seen, d.unnamed(seen.Version))) || changed
+		changed = d.nameVersion(now, seen.Model, d.namedAsReported(now, seen, d.namedSinceConfirmed(seen.Version))) || changed
 	}
 	return d.replaceGuesses(now, news.Versions) || changed
 }
 
-// takeBackends takes in how the list changed. Where the changes don't lead from what
+// mergeBackendNews takes in how the list changed. Where the changes don't lead from what
 // this daemon knows to the teller's list, it asks for the list.
-func (d *Directory) takeBackends(from string, news *BackendNews) {
+func (d *Directory) mergeBackendNews(from string, news *BackendNews) {
 	if !d.listed.Load() || d.positions[tableBackends].Load() >= news.To {
 		return
 	}
 	changed := digested(news.Changed)
 	if d.backends.digestAfter(changed, news.Gone) != news.Digest {
-		d.fallBehind(lag{from: from, table: tableBackends, need: Have{NeedBackendsTo: news.To}})
+		d.requestMissing(missingData{from: from, table: tableBackends, need: Have{NeedBackendsTo: news.To}})
 		return
 	}
 	d.changeListed(changed, news.Gone, news.To)
--- a/internal/directory/bulletin_test.go
+++ b/internal/directory/bulletin_test.go
@@ -62,23 +62,23 @@
 				late = append(late, news)
 			default:
 				upToDate := follower.positions[tableBackends].Load() == from
-				follower.takeBackends("reader", news)
+				follower.mergeBackendNews("reader", news)
 				if upToDate {
 					assert.Equal(t, follower.positions[tableBackends].Load(), version, "news that follows on is taken in")
 				}
 			}
 			if len(late) > 0 && rapid.Bool().Draw(t, "late") {
-				follower.takeBackends("reader", late[0])
+				follower.mergeBackendNews("reader", late[0])
 				late = late[1:]
 			}
 			position := follower.positions[tableBackends].Load()
-			assert.Equal(t, fmt.Sprint(believed(follower)), histories[position], "at version %d", position)
+			assert.Equal(t, fmt.Sprint(backendsByName(follower)), histories[position], "at version %d", position)
 		}
 	})
 }
 
-// believed is the list that a daemon believes in.
-func believed(directory *Directory) map[identity.BackendName]backendpool.Backend {
+// backendsByName is the list that a daemon believes in.
+func backendsByName(directory *Directory) map[identity.BackendName]backendpool.Backend {
 	list := map[identity.BackendName]backendpool.Backend{}
 	for _, backend := range directory.backends.all() {
 		list[backend.ID.Name()] = backend
@@ -146,13 +146,13 @@
 func TestToldMomentsToComeConfirmNothing(t *testing.T) {
 	follower := readFollower(t)
 	before := follower.ConfirmedAt()
-	follower.turn.open()
-	follower.turn.reads = false
+	follower.role.open()
+	follower.role.reads = false
 	follower.applyBulletin(before.Add(time.Second), heardBulletin{from: "a", bulletin: Bulletin{Declared: &DeclaredNews{
 		Clock: 55 * time.Second, StoreVersion: 12, RowVersion: 10,
 	}}})
 	assert.Equal(t, follower.ConfirmedAt(), before)
-	assert.Equal(t, follower.turn.due(before.Add(time.Second), tableDeclared).task, taskRead)
+	assert.Equal(t, follower.role.decide(before.Add(time.Second), tableDeclared).task, taskRead)
 }
 
 // TestNewerConfigurationIsRead confirms nothing by news of a configuration that this
@@ -160,19 +160,19 @@
 func TestNewerConfigurationIsRead(t *testing.T) {
 	follower := readFollower(t)
 	before := follower.ConfirmedAt()
-	follower.turn.open()
-	follower.turn.reads = false
+	follower.role.open()
+	follower.role.reads = false
 	now := before.Add(time.Second)
 	follower.applyBulletin(now, heardBulletin{from: "a", bulletin: Bulletin{Declared: &DeclaredNews{
 		Clock: 51 * time.Second, StoreVersion: 12, RowVersion: 12,
 	}}})
 	assert.Equal(t, follower.ConfirmedAt(), before)
-	assert.Equal(t, follower.lag.Load().need, Have{NeedRowVersion: 12})
+	assert.Equal(t, follower.missing.Load().need, Have{NeedRowVersion: 12})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go follower.catchUp(ctx)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if follower.turn.due(now, tableDeclared).task == taskRead {
+		if follower.role.decide(now, tableDeclared).task == taskRead {
 			return poll.Success()
 		}
 		return poll.Continue("the store is not read")
@@ -362,7 +362,7 @@
 				}
 			}
 			position = directory.positions[tableBackends].Load()
-			assert.Equal(t, fmt.Sprint(believed(directory)), histories[position], "at version %d", position)
+			assert.Equal(t, fmt.Sprint(backendsByName(directory)), histories[position], "at version %d", position)
 		}
 	}
 }
@@ -372,8 +372,8 @@
 // the hearer reads itself once that is too long ago.
 func TestLateBulletinsAreNoNews(t *testing.T) {
 	follower := readFollower(t)
-	follower.turn.open()
-	follower.turn.reads = false
+	follower.role.open()
+	follower.role.reads = false
 	known := follower.ConfirmedAt()
 	late := func(now time.Time, clock time.Duration) {
 		follower.applyBulletin(now, heardBulletin{from: "a", bulletin: Bulletin{Declared: &DeclaredNews{
@@ -382,17 +382,17 @@
 	}
 	late(known.Add(5*time.Second), 51*time.Second)
 	assert.Equal(t, follower.ConfirmedAt().Sub(known), time.Second)
-	assert.Equal(t, follower.turn.due(known.Add(5*time.Second), tableDeclared).task, taskRead, "news of four seconds ago kept it from reading")
+	assert.Equal(t, follower.role.decide(known.Add(5*time.Second), tableDeclared).task, taskRead, "news of four seconds ago kept it from reading")
 
 	follower = readFollower(t)
-	follower.turn.open()
-	follower.turn.reads = false
+	follower.role.open()
+	follower.role.reads = false
 	known = follower.ConfirmedAt()
 	late(known.Add(100*time.Millisecond), 50050*time.Millisecond)
 	for step := range 40 {
 		late(known.Add(time.Duration(step)*100*time.Millisecond), 50050*time.Millisecond)
 	}
-	assert.Equal(t, follower.turn.due(known.Add(4*time.Second), tableDeclared).task, taskRead, "the same bulletin again and again kept it from reading")
+	assert.Equal(t, follower.role.decide(known.Add(4*time.Second), tableDeclared).task, taskRead, "the same bulletin again and again kept it from reading")
 }
 
 // TestLargeReadingsAreToldInPages has a reader find some hundred changes at once, as when back ends are replaced one
@@ -401,7 +401,7 @@
 	for _, lost := range []int{-1, 0, 2} {
 		list := listOf(2_000)
 		var told []Bulletin
-		reader := readerWho(list, func(bulletin Bulletin) { told = append(told, bulletin) })
+		reader := newBroadcastingReader(list, func(bulletin Bulletin) { told = append(told, bulletin) })
 		hearer := New(Options{Pool: backendpool.New("a"), Log: logging.Discard(), Self: "hearer"})
 		catchUpWith(t, hearer, reader)
 
@@ -429,11 +429,11 @@
 			}
 			hearer.applyBulletin(time.Now(), heardBulletin{from: "reader", bulletin: brief})
 		}
-		asks := hearer.lag.Load() != nil
+		asks := hearer.missing.Load() != nil
 		assert.Equal(t, asks, lost >= 0)
 		if asks {
 			assert.Assert(t, catchUpWith(t, hearer, reader) <= 270)
 		}
-		assert.DeepEqual(t, believed(hearer), believed(reader))
+		assert.DeepEqual(t, backendsByName(hearer), backendsByName(reader))
 	}
 }
--- a/internal/directory/declared.go
+++ b/internal/directory/declared.go
@@ -16,11 +16,11 @@
 		return // what was checked is an outdated reading that was passed over
 	}
 	if d.state.Load() == nil {
-		d.tellNothing(got.ended, d.freshness[tableDeclared].storeTime(got.began))
+		d.broadcastNothingDeclared(got.ended, d.freshness[tableDeclared].storeTime(got.began))
 		return
 	}
 	d.confirm(got.began)
-	d.tellDeclared(got.ended, d.freshness[tableDeclared].storeTime(got.began))
+	d.broadcastDeclared(got.ended, d.freshness[tableDeclared].storeTime(got.began))
 }
 
 // applyDeclared takes in what operators declared. A reading of an earlier moment
@@ -38,7 +38,7 @@
 	}
 	d.rows = declared.Rows
 	if !declared.Found {
-		d.tellNothing(got.ended, declared.Clock)
+		d.broadcastNothingDeclared(got.ended, declared.Clock)
 		return
 	}
 	d.readSoftware(declared)
@@ -46,7 +46,7 @@
 	versionsChanged := d.nameVersions(now, declared)
 	d.started = true
 	state := d.state.Load()
-	newer := declared.Configuration != nil && (state == nil || replaces(declared.Configuration, declared.RowVersion, state))
+	newer := declared.Configuration != nil && (state == nil || supersedes(declared.Configuration, declared.RowVersion, state))
 	switch {
 	case newer:
 		d.publish(declared)
@@ -56,14 +56,14 @@
 	if d.state.Load() != nil {
 		d.confirm(got.began)
 		advance(d.positions[tableDeclared], declared.Version)
-		d.showRest()
-		d.tellDeclared(got.ended, declared.Clock)
+		d.publishMembersAndClock()
+		d.broadcastDeclared(got.ended, declared.Clock)
 	}
 }
 
-// replaces tells whether a configuration is to be put in force in place of another one: a newer one or, where the store has
+// supersedes tells whether a configuration is to be put in force in place of another one: a newer one or, where the store has
 // come back from a copy, the same one in another row. A copy may hold an older one for a while.
-func replaces(configuration *routing.Configuration, rowVersion uint64, state *relay.State) bool {
+func supersedes(configuration *routing.Configuration, rowVersion uint64, state *relay.State) bool {
 	present := state.Table.Version()
 	return configuration.Version > present || (configuration.Version == present && rowVersion > state.RowVersion)
 }
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -26,9 +26,9 @@
 	declaredInterval = 10 * time.Second
 	// backendsInterval is how often the list is read as a whole though no change was
 	// told; a large one is read less often.
-	backendsInterval    = 20 * time.Second
-	bytesPerSecond      = 4 << 10
-	longestReadInterval = 60 * time.Second
+	backendsInterval = 20 * time.Second
+	bytesPerSecond   = 4 << 10
+	maxReadInterval  = 60 * time.Second
 	// backendWait and memberWait are how long calls for changes are held: they end at
 	// the first change. That the store is reachable at all is seen by the checks.
 	backendWait = 3 * time.Second
@@ -41,17 +41,17 @@
 	// failurePausePerDaemon spaces the calls of daemons that all fail, up to
 	// longestFailurePause: in large fleets only a few of them try.
 	failurePausePerDaemon = 25 * time.Millisecond
-	longestFailurePause   = 500 * time.Millisecond
+	maxFailurePause       = 500 * time.Millisecond
 	// joinFailurePause is the same for daemons that start and know no others: hundreds may
 	// start together.
 	joinFailurePause = 600 * time.Millisecond
-	// longestRetryPause bounds the pause after calls that were refused for now.
-	longestRetryPause = 2 * time.Second
-	callTimeout       = 1500 * time.Millisecond
+	// maxRetryPause bounds the pause after calls that were refused for now.
+	maxRetryPause = 2 * time.Second
+	callTimeout   = 1500 * time.Millisecond
 	// limitedSpreadFactor times the time after which refused calls may come again is over how much more time they are
 	// drawn, and over twice as much each time, mostLimitedDoublings times.
-	limitedSpreadFactor  = 2
-	mostLimitedDoublings = 3
+	limitedSpreadFactor = 2
+	maxLimitedDoublings = 3
 	// hedgeTime is after how long a check without an answer is made anew, and hedgedChecks
 	// how many there are at a time. One takes a few milliseconds, or half a second and more
 	// while the store is slow.
@@ -59,18 +59,18 @@
 	hedgedChecks = 3
 	// listTimeout bounds a reading of the whole list of back ends, page by page.
 	listTimeout = 15 * time.Second
-	// longAgo is when versions count as named where the options don't say: no grace is as long.
-	longAgo = 24 * time.Hour
+	// defaultNamingAge is when versions count as named where the options don't say: no grace is as long.
+	defaultNamingAge = 24 * time.Hour
 	// clockSlack covers steady clocks that run at different rates.
 	clockSlack = 100 * time.Millisecond
-	// keptVersions is how many named versions of a model are remembered.
-	keptVersions = 8
-	// waitingBulletins bounds the bulletins that wait to be taken in.
-	waitingBulletins = 64
+	// maxRememberedVersions is how many named versions of a model are remembered.
+	maxRememberedVersions = 8
+	// bulletinQueueLength bounds the bulletins that wait to be taken in.
+	bulletinQueueLength = 64
 	// repeatInterval and repeatedBulletins say how often changes of the list are told
 	// again: single datagrams are lost now and then.
-	repeatInterval    = 200 * time.Millisecond
-	repeatedBulletins = 2
+	repeatInterval  = 200 * time.Millisecond
+	bulletinRepeats = 2
 	// versionInterval is how often the version of the list is told though it has not changed, and changedVersionInterval
 	// how often where it has.
 	versionInterval        = time.Second
@@ -132,7 +132,7 @@
 	options   Options
 	messages  chan message
 	bulletins chan heardBulletin
-	turn      *turn
+	role      *readerRole
 	// positions are the store's versions up to which changes of a table are known.
 	positions map[table]*atomic.Uint64
 	state     atomic.Pointer[relay.State]
@@ -147,9 +147,9 @@
 	listed              atomic.Bool
 	// contacts are whom this daemon asks while it knows nothing.
 	contacts contacts
-	// lag says what this daemon lacks, and behind has a value when it changed.
-	lag    atomic.Pointer[lag]
-	behind chan struct{}
+	// missing says what this daemon lacks, and behind has a value when it changed.
+	missing          atomic.Pointer[missingData]
+	catchUpRequested chan struct{}
 	// declaredChanged has a value when what operators declared is known to have changed.
 	declaredChanged signal
 	// waited is when another daemon last told that operators have declared nothing yet.
@@ -158,8 +158,8 @@
 	// to their list, until one has told it whole.
 	packer     packer
 	wantsWhole atomic.Bool
-	// shown are the lists as other daemons may be given them.
-	shown     atomic.Pointer[shownLists]
+	// published are the lists as other daemons may be given them.
+	published atomic.Pointer[publishedLists]
 	malformed *malformedRows
 
 	// What follows belongs to the goroutine of Run.
@@ -170,15 +170,15 @@
 	// started is set after the first reading: a version that is found later was named
 	// since, also if it is a model's first.
 	started bool
-	// told are what other daemons saw last, by model.
-	told      map[identity.ModelName][]Seen
-	freshness map[table]*freshness
-	moments   moments
-	held      held
-	reachable map[table]bool
-	changeLog changeLog
-	members   *memberList
-	software  *softwareBelief
+	// reported are what other daemons saw last, by model.
+	reported     map[identity.ModelName][]Seen
+	freshness    map[table]*freshness
+	clockSamples clockSamples
+	held         heldCall
+	reachable    map[table]bool
+	changeLog    changeLog
+	members      *memberList
+	software     *softwareState
 	// toldTryingAt is when this daemon last told that its calls fail.
 	toldTryingAt time.Time
 	// declaredTold is what was last told of what operators declared, to declaredToldTo daemons; nil is nothing.
@@ -222,7 +222,7 @@
 	checked map[string]uint64
 	adopted *adoption
 	seen    []Seen
-	told    *toldChange
+	told    *heldAnswer
 	// standing was written by a daemon.
 	standing *rollout.Standing
 	question *listQuestion
@@ -240,7 +240,7 @@
 		options.Started = clock.Now()
 	}
 	if options.GuessedNaming.IsZero() {
-		options.GuessedNaming = options.Started.Add(-longAgo)
+		options.GuessedNaming = options.Started.Add(-defaultNamingAge)
 	}
 	if options.Others == nil {
 		options.Others = func() []string { return nil }
@@ -252,27 +252,27 @@
 		options:   options,
 		contacts:  contacts{changed: newSignal()},
 		messages:  make(chan message),
-		bulletins: make(chan heardBulletin, waitingBulletins),
-		turn: newTurn(turnOptions{
+		bulletins: make(chan heardBulletin, bulletinQueueLength),
+		role: newReaderRole(readerRoleOptions{
 			self: options.Self, alone: options.Tell == nil, interval: options.Interval, newsBound: options.NewsBound, others: options.Others,
 			capacity: options.Topology.CapacityOf, storeTime: options.StoreTime,
 		}),
-		positions: map[table]*atomic.Uint64{tableDeclared: {}, tableBackends: {}, tableMembers: {}},
-		behind:    make(chan struct{}, 1), declaredChanged: newSignal(),
+		positions:        map[table]*atomic.Uint64{tableDeclared: {}, tableBackends: {}, tableMembers: {}},
+		catchUpRequested: make(chan struct{}, 1), declaredChanged: newSignal(),
 		versions:  map[identity.ModelName][]relay.NamedVersion{},
 		backends:  newBackendList(),
 		members:   newMemberList(),
-		told:      map[identity.ModelName][]Seen{},
+		reported:  map[identity.ModelName][]Seen{},
 		freshness: map[table]*freshness{tableDeclared: {}, tableBackends: {}},
 		reachable: map[table]bool{},
 		malformed: newMalformedRows(),
 	}
-	directory.software = newSoftwareBelief(directory.noteStanding)
+	directory.software = newSoftwareState(directory.noteStanding)
 	directory.confirmed.Store(&time.Time{})
 	directory.steady.Store(&time.Time{})
 	directory.awakeAt.Store(&time.Time{})
 	directory.awakeSince.Store(&time.Time{})
-	directory.shown.Store(&shownLists{software: directory.softwareNews()})
+	directory.published.Store(&publishedLists{software: directory.softwareNews()})
 	return directory
 }
 
@@ -286,7 +286,7 @@
 func (d *Directory) Complete() bool { return d.state.Load() != nil && d.listed.Load() }
 
 // ReadsForAll tells whether this daemon reads the store for all others.
-func (d *Directory) ReadsForAll() bool { return d.turn.readsForAll() }
+func (d *Directory) ReadsForAll() bool { return d.role.readsForAll() }
 
 // Run reads the store, or hears what another daemon reads, until the context ends.
 func (d *Directory) Run(ctx context.Context) error {
@@ -308,7 +308,7 @@
 			d.applyBulletin(clock.Now(), heard)
 		case now := <-repeat.C:
 			d.noteAwake(clock.Now())
-			d.tellAgain(now)
+			d.rebroadcast(now)
 		}
 	}
 }
@@ -320,7 +320,7 @@
 	}
 	switch {
 	case got.err != nil, got.unanswered:
-		d.tellTrying(got.ended)
+		d.broadcastTrying(got.ended)
 	case got.declared != nil:
 		d.applyDeclared(got)
 	case got.checked != nil:
@@ -334,7 +334,7 @@
 	case got.adopted != nil:
 		d.adopt(got.adopted)
 	case got.told != nil:
-		d.applyTold(got)
+		d.applyHeldAnswer(got)
 	case got.seen != nil:
 		d.applySeen(got.seen)
 	case got.question != nil:
--- a/internal/directory/disturbance.go
+++ b/internal/directory/disturbance.go
@@ -9,9 +9,9 @@
 const (
 	// disturbanceWindow is the time within which two failed calls may be a disturbance.
 	disturbanceWindow = 3 * time.Second
-	// leastPause is the shortest time without a look at the clock that counts as a pause of this
+	// minProcessPause is the shortest time without a look at the clock that counts as a pause of this
 	// process: it looks each repeatInterval.
-	leastPause = time.Second
+	minProcessPause = time.Second
 )
 
 // FailedCall is a call of the store that failed.
@@ -33,7 +33,7 @@
 	if before == nil || failed.Began.Sub(*before).Abs() > disturbanceWindow {
 		return
 	}
-	if !failed.Refused && !d.unreached(failed) {
+	if !failed.Refused && !d.storeUnreached(failed) {
 		return
 	}
 	steady := failed.Began.Add(d.options.SteadyTime)
@@ -45,9 +45,9 @@
 	}
 }
 
-// unreached tells whether nobody is known to have reached the store since a failed call began, nor for a
+// storeUnreached tells whether nobody is known to have reached the store since a failed call began, nor for a
 // while before its end.
-func (d *Directory) unreached(failed FailedCall) bool {
+func (d *Directory) storeUnreached(failed FailedCall) bool {
 	reached := d.reachedAt(failed.Ended)
 	return reached.Before(failed.Began) && failed.Ended.Sub(reached) >= d.options.QuietTime
 }
@@ -61,7 +61,7 @@
 			reached = unnoticed
 		}
 	}
-	if awake := *d.awakeAt.Load(); !awake.IsZero() && now.Sub(awake) > leastPause {
+	if awake := *d.awakeAt.Load(); !awake.IsZero() && now.Sub(awake) > minProcessPause {
 		return now // it is just waking
 	}
 	return reached
@@ -70,7 +70,7 @@
 // noteAwake notes that the process runs at a time.
 func (d *Directory) noteAwake(now time.Time) {
 	before := d.awakeAt.Swap(&now)
-	if !before.IsZero() && now.Sub(*before) > leastPause {
+	if !before.IsZero() && now.Sub(*before) > minProcessPause {
 		d.awakeSince.Store(&now)
 		d.options.Log.WithField("paused_ms", now.Sub(*before).Milliseconds()).Warn("The process was paused.")
 	}
--- a/internal/directory/eras_test.go
+++ b/internal/directory/eras_test.go
@@ -69,7 +69,7 @@
 	}
 	assert.DeepEqual(t, draining, map[string]bool{"stays": false, "drains": true, "gone before": false})
 
-	directory.takeBackends("earlier", &BackendNews{To: 950, Changed: []backendpool.Backend{backend("lost", false)}})
+	directory.mergeBackendNews("earlier", &BackendNews{To: 950, Changed: []backendpool.Backend{backend("lost", false)}})
 	list(960, backend("stays", false), backend("lost", false))
 	assert.Equal(t, len(directory.options.Pool.Backends()), 3)
 	assert.Equal(t, directory.positions[tableBackends].Load(), returned)
@@ -84,8 +84,8 @@
 	returned := port.PositionOf(1, 60)
 	news := &DeclaredNews{Clock: time.Minute, StoreVersion: returned, RowVersion: 900}
 	now := time.Now()
-	directory.takeDeclared(now, "reader", news)
-	lacking := directory.lag.Load()
+	directory.mergeDeclaredNews(now, "reader", news)
+	lacking := directory.missing.Load()
 	assert.Assert(t, lacking != nil && lacking.from == "reader" && lacking.table == tableDeclared)
 
 	directory.adopt(&adoption{from: "reader", asked: now, answered: now, snapshot: Snapshot{
@@ -93,7 +93,7 @@
 	}})
 	later := now.Add(5 * time.Second)
 	news.Clock += 5 * time.Second
-	directory.takeDeclared(later, "reader", news)
+	directory.mergeDeclaredNews(later, "reader", news)
 	age := later.Sub(directory.ConfirmedAt())
 	assert.Assert(t, age >= 0 && age < 200*time.Millisecond, "%s", age)
 }
--- a/internal/directory/joining.go
+++ b/internal/directory/joining.go
@@ -15,8 +15,8 @@
 	"github.com/lotusward/lotusward/internal/pause"
 )
 
-// keptContacts bounds the daemons that a starting one knows to ask.
-const keptContacts = 32
+// maxContacts bounds the daemons that a starting one knows to ask.
+const maxContacts = 32
 
 // BusyError says that a daemon answers others now, and names some that it has told what it believes.
 type BusyError struct {
@@ -42,7 +42,7 @@
 func (c *contacts) noticed(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if len(c.addresses) < keptContacts {
+	if len(c.addresses) < maxContacts {
 		c.put(address)
 	}
 }
@@ -53,7 +53,7 @@
 		return
 	}
 	c.addresses = append(c.addresses, address)
-	c.changed.tell()
+	c.changed.notify()
 }
 
 // add adds daemons that most likely know. Where there are too many, those that were added first are forgotten.
@@ -68,7 +68,7 @@
 
 // trim forgets those that were added first, where there are too many. The caller holds the mutex.
 func (c *contacts) trim() {
-	c.addresses = slices.Clone(c.addresses[max(len(c.addresses)-keptContacts, 0):])
+	c.addresses = slices.Clone(c.addresses[max(len(c.addresses)-maxContacts, 0):])
 }
 
 // reads notes that a daemon reads the store.
@@ -94,8 +94,8 @@
 	return c.readerAt
 }
 
-// drawn returns the contacts in a drawn order.
-func (c *contacts) drawn() []string {
+// shuffled returns the contacts in a shuffled order.
+func (c *contacts) shuffled() []string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	drawn := slices.Clone(c.addresses)
@@ -106,12 +106,12 @@
 // join finds other daemons at the start, and takes over what they believe. A daemon that
 // finds none that knows more reads the store itself, and goes on asking meanwhile.
 func (d *Directory) join(ctx context.Context) {
-	defer d.turn.open()
+	defer d.role.open()
 	if d.options.Contacts == nil {
 		return
 	}
-	go d.askOn(ctx)
-	retries := d.newRetrying()
+	go d.askUntilComplete(ctx)
+	retries := d.newRetryPacer()
 	retries.spread, retries.amongMany = joinFailurePause, true
 	for ctx.Err() == nil {
 		found, about, err := d.options.Contacts.Find(ctx)
@@ -121,9 +121,9 @@
 			return
 		}
 		d.options.Log.WithError(err).Warn("No other daemons are found at the start.")
-		retries.after(ctx, err)
+		retries.pauseAfter(ctx, err)
 		if d.Complete() {
-			d.turn.open()
+			d.role.open()
 		}
 	}
 }
@@ -134,12 +134,12 @@
 func (d *Directory) awaitAnswer(ctx context.Context, delay time.Duration) {
 	began := clock.Now()
 	for ctx.Err() == nil && !d.Complete() {
-		if d.toldOfNothing() {
+		if d.nothingDeclared() {
 			began = clock.Now()
 			pause.For(ctx, askPause)
 			continue
 		}
-		left := clock.Until(d.extended(began, delay))
+		left := clock.Until(d.joinDeadline(began, delay))
 		if left <= 0 {
 			d.options.Log.Info("No daemon tells what it believes.")
 			return
@@ -148,11 +148,11 @@
 	}
 }
 
-// askOn asks daemons until this one knows what they believe.
-func (d *Directory) askOn(ctx context.Context) {
+// askUntilComplete asks daemons until this one knows what they believe.
+func (d *Directory) askUntilComplete(ctx context.Context) {
 	wait := askPause
 	for round := 1; ctx.Err() == nil && !d.Complete(); round++ {
-		if d.toldOfNothing() {
+		if d.nothingDeclared() {
 			pause.For(ctx, askPause) // there is nothing to ask for yet
 			continue
 		}
@@ -162,24 +162,24 @@
 		if d.pauseAsking(ctx, wait) {
 			wait = askPause
 		} else {
-			wait = min(2*wait, longestAskPause)
+			wait = min(2*wait, maxAskPause)
 		}
 	}
 }
 
-// toldOfNothing tells whether another daemon that reads the store has lately told that operators have declared nothing.
-func (d *Directory) toldOfNothing() bool {
+// nothingDeclared tells whether another daemon that reads the store has lately told that operators have declared nothing.
+func (d *Directory) nothingDeclared() bool {
 	told := d.waited.Load()
 	return told != nil && clock.Since(*told) < joinExtension+d.options.Interval
 }
 
 // askRound asks a few daemons, and returns how many.
 func (d *Directory) askRound(ctx context.Context, round int) int {
-	drawn := d.contacts.drawn()
+	drawn := d.contacts.shuffled()
 	if round <= nearRounds {
-		d.nearFirst(drawn)
+		d.sortByProximity(drawn)
 	}
-	drawn = drawn[:min(askedAtOnce, len(drawn))]
+	drawn = drawn[:min(maxConcurrentAsks, len(drawn))]
 	err := d.askAny(ctx, drawn)
 	if err != nil && len(drawn) > 0 && round&(round-1) == 0 { // a line in each doubling of rounds
 		d.options.Log.WithError(err).WithFields(logrus.Fields{"asked": drawn, "round": round}).Info("Other daemons were asked in vain.")
@@ -202,15 +202,15 @@
 	}
 }
 
-// extended is until when a starting daemon waits for others: for its delay, and longer while one that reads is heard of.
+// joinDeadline is until when a starting daemon waits for others: for its delay, and longer while one that reads is heard of.
 // The delay counts from there again, since all that wait have heard of the same reader at the same time.
-func (d *Directory) extended(began time.Time, delay time.Duration) time.Time {
+func (d *Directory) joinDeadline(began time.Time, delay time.Duration) time.Time {
 	reader := d.contacts.heardReader()
 	if reader.IsZero() {
 		return began.Add(delay)
 	}
 	extended := reader.Add(joinExtension + d.options.Interval)
-	if longest := began.Add(longestExtension); extended.After(longest) {
+	if longest := began.Add(maxJoinExtension); extended.After(longest) {
 		extended = longest
 	}
 	return later(began, extended).Add(delay)
@@ -225,7 +225,7 @@
 	if contacts == 0 {
 		return rand.N(joinSpread)
 	}
-	longest := min(joinSpread+time.Duration(about)*joinPerDaemon, longestJoin)
+	longest := min(joinSpread+time.Duration(about)*joinPerDaemon, maxJoinDelay)
 	drawn := 1 - rand.Float64() // above zero
 	share := 1 + math.Log(drawn)/math.Log(float64(max(about, 2)))
 	return time.Duration(max(share, 0) * float64(longest))
@@ -247,7 +247,7 @@
 func (d *Directory) askAny(ctx context.Context, addresses []string) error {
 	told := make(chan error, len(addresses))
 	begun := make(chan struct{}, len(addresses))
-	err := errNobodyKnown
+	err := errNoPeers
 	asked, answered := 0, 0
 	for answered < asked || asked < len(addresses) {
 		var stagger <-chan time.Time
--- a/internal/directory/listhistory.go
+++ b/internal/directory/listhistory.go
@@ -6,9 +6,9 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// keptHistory bounds the changes that are remembered. A daemon that missed some of them is told these alone; beyond this
+// minHistory bounds the changes that are remembered. A daemon that missed some of them is told these alone; beyond this
 // number the packed list is about as short.
-const keptHistory = 8192
+const minHistory = 8192
 
 // listHistory remembers which back ends changed last, so that others are told what they missed and not the whole list.
 // The zero value knows nothing.
@@ -32,10 +32,10 @@
 // note adds a change up to a version.
 func (h *listHistory) note(version uint64, name identity.BackendName) {
 	h.changes = append(h.changes, listChange{version, name})
-	if len(h.changes) <= 2*keptHistory {
+	if len(h.changes) <= 2*minHistory {
 		return
 	}
-	dropped := len(h.changes) - keptHistory
+	dropped := len(h.changes) - minHistory
 	h.floor = h.changes[dropped-1].version
 	// Changes of the same version as the last one dropped are not all there any more.
 	h.changes = slices.Clone(h.changes[dropped:])
--- a/internal/directory/listing.go
+++ b/internal/directory/listing.go
@@ -25,18 +25,18 @@
 	d.logMalformed(d.malformed.noteAll(tableBackends, listed.Malformed), "Some back ends cannot be read.")
 	changed, gone := d.backends.difference(listOfAll(listed.Backends))
 	d.changeLog.note(position.Load(), listed.Version, backendsOf(changed), gone)
-	d.reach(listed.Version)
+	d.advanceList(listed.Version)
 	d.alter(changed, gone, listed.Version)
 	d.listed.Store(true)
-	d.repeats = repeatedBulletins
-	d.tellBackends(got.ended)
+	d.repeats = bulletinRepeats
+	d.broadcastBackends(got.ended)
 }
 
 // applyChanges takes in changes of the list since it was read. Changes of before
 // what is known were told by another daemon meanwhile.
 func (d *Directory) applyChanges(got message) {
 	changes := got.changes
-	d.moments.note(changes.Reading)
+	d.clockSamples.note(changes.Reading)
 	d.logMalformed(d.malformed.noteChanged(tableBackends, changes.Malformed), "Some back ends cannot be read.")
 	position := d.positions[tableBackends]
 	if changes.Last > position.Load() {
@@ -46,7 +46,7 @@
 		d.applyPages(got.ended, pagesOf(batch{changed: changed, gone: changes.Gone}, position.Load(), changes.Last))
 		return
 	}
-	d.tellBackends(got.ended)
+	d.broadcastBackends(got.ended)
 }
 
 // applyPages takes in changes and tells of them, page by page.
@@ -56,9 +56,9 @@
 		d.change(page.changed, page.gone, page.to)
 		d.repeats = 0
 		if len(pages) == 1 {
-			d.repeats = repeatedBulletins
+			d.repeats = bulletinRepeats
 		}
-		d.tellBackends(now)
+		d.broadcastBackends(now)
 	}
 }
 
@@ -69,13 +69,13 @@
 
 // changeListed applies changes, with their digests, up to a version of the store.
 func (d *Directory) changeListed(changed []listedBackend, gone []identity.BackendName, to uint64) {
-	d.reach(to)
+	d.advanceList(to)
 	d.alter(changed, gone, to)
 }
 
-// reach notes that the list is known up to a version. A store that has come back from a copy may say of back ends that
+// advanceList notes that the list is known up to a version. A store that has come back from a copy may say of back ends that
 // drain that they don't: they go on draining.
-func (d *Directory) reach(to uint64) {
+func (d *Directory) advanceList(to uint64) {
 	position := d.positions[tableBackends]
 	before := position.Load()
 	advance(position, to)
@@ -87,8 +87,8 @@
 		Warn("The store has come back from a copy; its list of back ends is taken over.")
 }
 
-// loggedIDs is how many back ends a line of the log names.
-const loggedIDs = 16
+// maxLoggedIDs is how many back ends a line of the log names.
+const maxLoggedIDs = 16
 
 // alter changes the list as it is believed to be, and gives the pool what changed.
 func (d *Directory) alter(changed []listedBackend, gone []identity.BackendName, to uint64) {
@@ -96,7 +96,7 @@
 	if !d.listed.Load() {
 		d.backends.history.begin(to)
 	}
-	d.showBackends()
+	d.publishBackendPosition()
 	change := d.options.Pool.Apply(backendsOf(changed), ended)
 	if len(change.Added)+len(change.Removed)+len(change.Draining) == 0 {
 		return
@@ -108,4 +108,4 @@
 	}).Info("The list of back ends changed.")
 }
 
-func firstOf(ids []identity.BackendID) []identity.BackendID { return ids[:min(len(ids), loggedIDs)] }
+func firstOf(ids []identity.BackendID) []identity.BackendID { return ids[:min(len(ids), maxLoggedIDs)] }
--- a/internal/directory/lives_test.go
+++ b/internal/directory/lives_test.go
@@ -13,22 +13,22 @@
 	"github.com/lotusward/lotusward/internal/logging"
 )
 
-// livesWorld is a reader of a list whose back ends start again, and what it tells.
-type livesWorld struct {
+// restartSimulation is a reader of a list whose back ends start again, and what it tells.
+type restartSimulation struct {
 	t       *rapid.T
 	reader  *Directory
 	version uint64
 	told    []Bulletin
 }
 
-func newLivesWorld(t *rapid.T) *livesWorld {
-	world := &livesWorld{t: t, version: 1}
+func newRestartSimulation(t *rapid.T) *restartSimulation {
+	world := &restartSimulation{t: t, version: 1}
 	world.reader = New(Options{
 		Pool: backendpool.New("a"), Log: logging.Discard(), Self: "reader",
 		Tell: func(told Bulletin) { world.told = append(world.told, told) },
 	})
-	world.reader.turn.open()
-	world.reader.turn.due(time.Now(), tableBackends) // it reads for all
+	world.reader.role.open()
+	world.reader.role.decide(time.Now(), tableBackends) // it reads for all
 	read := declaration(10, 7)
 	now := time.Now()
 	read.Clock = 50 * time.Second
@@ -39,7 +39,7 @@
 }
 
 // change lets a back end start, start again or go.
-func (w *livesWorld) change() {
+func (w *restartSimulation) change() {
 	changes := &Changes{After: w.version}
 	w.version++
 	changes.Last = w.version
@@ -53,8 +53,8 @@
 	w.reader.apply(message{table: tableBackends, ended: time.Now(), changes: changes})
 }
 
-// sent gives back what a daemon makes of a message that another one sent.
-func sent[Body any](t *rapid.T, body Body) Body {
+// roundTrip gives back what a daemon makes of a message that another one roundTrip.
+func roundTrip[Body any](t *rapid.T, body Body) Body {
 	encoded, err := msgpack.Marshal(body)
 	assert.NilError(t, err)
 	var got Body
@@ -63,9 +63,9 @@
 }
 
 // ask has a daemon take over what the reader believes.
-func (w *livesWorld) ask(starter *Directory) {
+func (w *restartSimulation) ask(starter *Directory) {
 	state, now := w.reader.State(), time.Now()
-	snapshot := sent(w.t, Snapshot{
+	snapshot := roundTrip(w.t, Snapshot{
 		Complete: true, RowVersion: state.RowVersion, Configuration: state.Table.Configuration(),
 		ClockLeast: 50 * time.Second, ClockMost: 51 * time.Second,
 		HasBackends: true, Backends: w.reader.backends.all(), BackendsTo: w.reader.positions[tableBackends].Load(),
@@ -78,27 +78,27 @@
 // life than the reader did at the same version, and in the end in the same ones.
 func TestStarterBelievesInTheSameLives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		world := newLivesWorld(t)
+		world := newRestartSimulation(t)
 		starter := New(Options{Pool: backendpool.New("a"), Log: logging.Discard(), Self: "starter"})
-		histories := map[uint64]map[identity.BackendName]backendpool.Backend{1: believed(world.reader)}
+		histories := map[uint64]map[identity.BackendName]backendpool.Backend{1: backendsByName(world.reader)}
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
 				world.change()
-				histories[world.version] = believed(world.reader)
+				histories[world.version] = backendsByName(world.reader)
 			case 2:
 				world.ask(starter)
 			default:
 				if len(world.told) > 0 && starter.Complete() {
 					told := world.told[rapid.IntRange(0, len(world.told)-1).Draw(t, "told")]
-					starter.applyBulletin(time.Now(), heardBulletin{from: "reader", bulletin: sent(t, told)})
+					starter.applyBulletin(time.Now(), heardBulletin{from: "reader", bulletin: roundTrip(t, told)})
 				}
 			}
 			if position := starter.positions[tableBackends].Load(); starter.Complete() {
-				assert.DeepEqual(t, believed(starter), histories[position])
+				assert.DeepEqual(t, backendsByName(starter), histories[position])
 			}
 		}
 		world.ask(starter)
-		assert.DeepEqual(t, believed(starter), believed(world.reader))
+		assert.DeepEqual(t, backendsByName(starter), backendsByName(world.reader))
 	})
 }
--- a/internal/directory/malformedrows.go
+++ b/internal/directory/malformedrows.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// loggedFindings is how many findings a line of the log holds.
-	loggedFindings = 16
-	// knownFindings bounds the findings that are remembered of a table; those beyond are logged at each reading.
-	knownFindings = 1000
+	// maxLoggedFindings is how many findings a line of the log holds.
+	maxLoggedFindings = 16
+	// maxKnownFindings bounds the findings that are remembered of a table; those beyond are logged at each reading.
+	maxKnownFindings = 1000
 )
 
 // malformedRows remembers what could not be read in each table: other writers' rows may stay for days, and are read some
@@ -51,7 +51,7 @@
 		if !before[finding] {
 			unknown = append(unknown, finding)
 		}
-		if len(m.known[of]) < knownFindings {
+		if len(m.known[of]) < maxKnownFindings {
 			m.known[of][finding] = true
 		}
 	}
@@ -92,5 +92,5 @@
 
 // Error implements error. Of many findings it tells the first ones.
 func (e *malformedError) Error() string {
-	return strings.Join(e.findings[:min(len(e.findings), loggedFindings)], "\n")
+	return strings.Join(e.findings[:min(len(e.findings), maxLoggedFindings)], "\n")
 }
--- a/internal/directory/malformedrows_test.go
+++ b/internal/directory/malformedrows_test.go
@@ -40,9 +40,9 @@
 // TestMalformedRowsAreBounded changes more rows to malformed ones than are remembered.
 func TestMalformedRowsAreBounded(t *testing.T) {
 	rows := newMalformedRows()
-	for row := range 2 * knownFindings {
+	for row := range 2 * maxKnownFindings {
 		assert.Equal(t, len(rows.noteChanged(tableMembers, fmt.Errorf("members/%d: no address", row))), 1)
 	}
-	assert.Equal(t, rows.counts()[tableMembers], knownFindings)
+	assert.Equal(t, rows.counts()[tableMembers], maxKnownFindings)
 	assert.Equal(t, len(rows.noteChanged(tableMembers, errors.New("members/0: no address"))), 0)
 }
--- a/internal/directory/memberlist.go
+++ b/internal/directory/memberlist.go
@@ -8,8 +8,8 @@
 	"github.com/lotusward/lotusward/internal/core/rendezvous"
 )
 
-// keptMembers bounds how many new daemons a bulletin names: some 40 bytes each.
-const keptMembers = 96
+// maxBulletinMembers bounds how many new daemons a bulletin names: some 40 bytes each.
+const maxBulletinMembers = 96
 
 // memberList is the set of daemons as this one believes it to be. Rows of daemons are
 // never removed, so that the set only grows, but for the former address of a daemon that has
@@ -52,7 +52,7 @@
 		l.newest = append(l.newest, described)
 		changed = true
 	}
-	l.newest = l.newest[max(len(l.newest)-keptMembers, 0):]
+	l.newest = l.newest[max(len(l.newest)-maxBulletinMembers, 0):]
 	return changed
 }
 
@@ -97,21 +97,21 @@
 	Digest listDigest
 }
 
-// takeMembers takes in which daemons there are.
-func (d *Directory) takeMembers(from string, news *MemberNews) {
+// mergeMemberNews takes in which daemons there are.
+func (d *Directory) mergeMemberNews(from string, news *MemberNews) {
 	if d.positions[tableMembers].Load() >= news.To {
 		return
 	}
-	d.learnMembers(news.Newest, news.To)
+	d.mergeMembers(news.Newest, news.To)
 	if d.members.digest != news.Digest {
-		d.fallBehind(lag{from: from, table: tableMembers})
+		d.requestMissing(missingData{from: from, table: tableMembers})
 		return
 	}
 	advance(d.positions[tableMembers], news.To)
 }
 
-// learnMembers adds daemons, as told up to a version of the store, and tells who wants to know.
-func (d *Directory) learnMembers(told []member.Descriptor, to uint64) {
+// mergeMembers adds daemons, as told up to a version of the store, and tells who wants to know.
+func (d *Directory) mergeMembers(told []member.Descriptor, to uint64) {
 	if d.members.add(told, to < d.positions[tableMembers].Load()) && d.options.OnMembers != nil {
 		d.options.OnMembers(d.members.all())
 	}
@@ -121,24 +121,24 @@
 func (d *Directory) applyMembers(got message) {
 	to := max(got.members.Last, got.members.Version)
 	d.logMalformed(d.malformed.noteChanged(tableMembers, got.members.Malformed), "Some daemons' rows cannot be read.")
-	d.learnMembers(got.members.InOrder(), to)
+	d.mergeMembers(got.members.InOrder(), to)
 	advance(d.positions[tableMembers], to)
-	d.showRest()
-	if d.turn.readList(got.ended, tableMembers) {
-		d.tellMembers()
-		d.tellNewcomers()
+	d.publishMembersAndClock()
+	if d.role.noteOwnRead(got.ended, tableMembers) {
+		d.broadcastMembers()
+		d.broadcastToNewMembers()
 	}
 }
 
-// tellNewcomers tells daemons that came since what operators have declared was last told, that this one reads: those that
+// broadcastToNewMembers tells daemons that came since what operators have declared was last told, that this one reads: those that
 // start wait for that.
-func (d *Directory) tellNewcomers() {
+func (d *Directory) broadcastToNewMembers() {
 	if count := len(d.members.known); d.declaredTold != nil && count > d.declaredToldTo {
 		d.declaredToldTo = count
 		d.options.Tell(Bulletin{Declared: d.declaredTold})
 	}
 }
 
-func (d *Directory) tellMembers() {
+func (d *Directory) broadcastMembers() {
 	d.options.Tell(Bulletin{Members: &MemberNews{To: d.positions[tableMembers].Load(), Newest: d.members.newest, Digest: d.members.digest}})
 }
--- a/internal/directory/reader.go
+++ b/internal/directory/reader.go
@@ -15,19 +15,19 @@
 
 // read reads one table again and again while it is this daemon's turn, and follows its
 // changes in between.
-func (d *Directory) read(ctx context.Context, which table, whole func(context.Context) (message, follow)) {
-	retries := d.newRetrying()
+func (d *Directory) read(ctx context.Context, which table, whole func(context.Context) (message, changeFeed)) {
+	retries := d.newRetryPacer()
 	for ctx.Err() == nil {
-		d.awaitTurn(ctx, which)
-		began := d.turn.begun()
+		d.awaitTask(ctx, which)
+		began := d.role.readerTerm()
 		got, following := whole(ctx)
 		d.post(ctx, got)
 		if got.err != nil {
-			retries.after(ctx, got.err)
+			retries.pauseAfter(ctx, got.err)
 			continue
 		}
 		retries.succeeded()
-		following.table, following.begun = which, began
+		following.table, following.term = which, began
 		d.follow(ctx, following)
 	}
 }
@@ -39,11 +39,11 @@
 	}
 }
 
-// follow is how a table's changes are followed after a whole reading.
-type follow struct {
+// changeFeed is how a table's changes are followed after a whole reading.
+type changeFeed struct {
 	table table
-	// begun is how often this daemon had begun to read for all at that reading.
-	begun uint64
+	// term is how often this daemon had term to read for all at that reading.
+	term uint64
 	// after is the store's version of the reading.
 	after uint64
 	// until is when the table is read as a whole again.
@@ -62,16 +62,16 @@
 
 // follow follows changes until the table is to be read as a whole. After a failed
 // call it goes on from where it was, unless the store has dropped its history.
-func (d *Directory) follow(ctx context.Context, following follow) {
+func (d *Directory) follow(ctx context.Context, following changeFeed) {
 	after := following.after
-	retries := d.newRetrying()
+	retries := d.newRetryPacer()
 	for ctx.Err() == nil {
 		if d.awaitNext(ctx, following) {
 			return
 		}
-		given := d.awaitTurn(ctx, following.table)
+		given := d.awaitTask(ctx, following.table)
 		left := clock.Until(following.until)
-		told := !d.turn.readsForAll()
+		told := !d.role.readsForAll()
 		if given == taskReadWhole || d.outdated(following, left, told) {
 			return
 		}
@@ -85,7 +85,7 @@
 			return
 		case got.err != nil:
 			d.post(ctx, got)
-			retries.after(ctx, got.err)
+			retries.pauseAfter(ctx, got.err)
 			continue
 		}
 		retries.succeeded()
@@ -100,32 +100,32 @@
 // outdated tells whether a table has to be read as a whole before its changes are
 // followed on. What another daemon told meanwhile is known as a whole where bulletins
 // tell all changes.
-func (d *Directory) outdated(following follow, left time.Duration, told bool) bool {
+func (d *Directory) outdated(following changeFeed, left time.Duration, told bool) bool {
 	if following.keep {
 		return left <= 0 && !told
 	}
-	return left <= 0 || told || d.turn.begun() != following.begun
+	return left <= 0 || told || d.role.readerTerm() != following.term
 }
 
 // hold is how long a call is held: one that only fills a gap is not.
-func (f *follow) hold(left time.Duration, told bool) time.Duration {
+func (f *changeFeed) hold(left time.Duration, told bool) time.Duration {
 	if told {
 		return 0
 	}
 	return min(left, f.wait)
 }
 
-// awaitTurn waits until this daemon is to read a table.
-func (d *Directory) awaitTurn(ctx context.Context, which table) task {
+// awaitTask waits until this daemon is to read a table.
+func (d *Directory) awaitTask(ctx context.Context, which table) task {
 	for ctx.Err() == nil {
-		given := d.turn.due(clock.Now(), which)
+		given := d.role.decide(clock.Now(), which)
 		if given.begins {
 			d.options.Log.WithField("without_news_ms", given.overdue.Milliseconds()).Info("This daemon reads the store for all.")
 		}
 		if given.task != taskNone {
 			return given.task
 		}
-		timer := time.NewTimer(given.look)
+		timer := time.NewTimer(given.checkAfter)
 		select {
 		case <-timer.C:
 		case <-given.changed:
@@ -136,8 +136,8 @@
 	return taskNone
 }
 
-// retrying spaces the calls after failed ones.
-type retrying struct {
+// retryPacer spaces the calls after failed ones.
+type retryPacer struct {
 	limited *backoff.ExponentialBackOff
 	// amongMany is set for calls that many daemons may make at the same time, and limitedCalls counts those in a row that
 	// were refused for now.
@@ -147,39 +147,39 @@
 	spread time.Duration
 }
 
-func (d *Directory) newRetrying() *retrying {
+func (d *Directory) newRetryPacer() *retryPacer {
 	limited := backoff.NewExponentialBackOff()
 	limited.InitialInterval = failurePause
-	limited.MaxInterval = longestRetryPause
+	limited.MaxInterval = maxRetryPause
 	spread := time.Duration(len(d.options.Others())+1) * failurePausePerDaemon
-	return &retrying{limited: limited, spread: min(max(spread, failurePause), longestFailurePause)}
+	return &retryPacer{limited: limited, spread: min(max(spread, failurePause), maxFailurePause)}
 }
 
-// after waits after a call that failed. A store that refuses calls for now is left
+// pauseAfter waits pauseAfter a call that failed. A store that refuses calls for now is left
 // alone for longer each time, since refused calls count against its limits too; one
 // that is out of reach is tried again soon.
-func (r *retrying) after(ctx context.Context, err error) {
+func (r *retryPacer) pauseAfter(ctx context.Context, err error) {
 	var limited *port.RateLimitedError
 	if errors.As(err, &limited) {
-		pause.For(ctx, max(r.limited.NextBackOff(), limited.RetryAfter)+r.drawnSpread(limited.RetryAfter))
+		pause.For(ctx, max(r.limited.NextBackOff(), limited.RetryAfter)+r.randomSpread(limited.RetryAfter))
 		return
 	}
 	pause.For(ctx, r.spread/2+rand.N(r.spread))
 }
 
-// drawnSpread is how much longer a call waits that the store refused for now, where many daemons make the same one at the
+// randomSpread is how much longer a call waits that the store refused for now, where many daemons make the same one at the
 // same time: they would call again together, and most be refused again. A daemon that reads for all must not wait so.
-func (r *retrying) drawnSpread(retryAfter time.Duration) time.Duration {
+func (r *retryPacer) randomSpread(retryAfter time.Duration) time.Duration {
 	if !r.amongMany {
 		return 0
 	}
-	spread := limitedSpreadFactor * max(retryAfter, failurePause) << min(r.limitedCalls, mostLimitedDoublings)
+	spread := limitedSpreadFactor * max(retryAfter, failurePause) << min(r.limitedCalls, maxLimitedDoublings)
 	r.limitedCalls++
 	return rand.N(spread)
 }
 
 // succeeded starts the pauses anew.
-func (r *retrying) succeeded() {
+func (r *retryPacer) succeeded() {
 	r.limited.Reset()
 	r.limitedCalls = 0
 }
@@ -187,17 +187,17 @@
 // untilNextReading says when a table of a size is read as a whole again.
 func untilNextReading(now time.Time, least time.Duration, bytes int) time.Time {
 	interval := time.Duration(float64(bytes) / bytesPerSecond * float64(time.Second))
-	return now.Add(min(max(interval, least), longestReadInterval))
+	return now.Add(min(max(interval, least), maxReadInterval))
 }
 
-func (d *Directory) readDeclared(ctx context.Context) (message, follow) {
+func (d *Directory) readDeclared(ctx context.Context) (message, changeFeed) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	defer d.tellIfUnanswered(ctx)()
+	defer d.reportUnanswered(ctx)()
 	began := clock.Now()
 	declared, err := d.options.Source.Declared(bounded)
 	got := message{table: tableDeclared, began: began, ended: clock.Now(), declared: &declared, err: err}
-	return got, follow{
+	return got, changeFeed{
 		after: declared.Version, until: untilNextReading(got.ended, declaredInterval, declared.Bytes),
 		pause: d.options.Interval, changed: d.declaredChanged,
 		next: func(ctx context.Context, _ uint64, _ time.Duration) (message, uint64, bool) {
@@ -226,7 +226,7 @@
 func (d *Directory) checkHedged(ctx context.Context, rows map[string]uint64) check {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout+hedgedChecks*hedgeTime)
 	defer cancel()
-	defer d.tellIfUnanswered(ctx)()
+	defer d.reportUnanswered(ctx)()
 	answers := make(chan check, hedgedChecks)
 	call := func() {
 		began := clock.Now()
@@ -246,18 +246,18 @@
 	return <-answers
 }
 
-// tellIfUnanswered tells others once a call has had no answer for a while, until the returned function is called: the store may be
+// reportUnanswered tells others once a call has had no answer for a while, until the returned function is called: the store may be
 // silent for all, and not all need to take over from this daemon to find that out.
-func (d *Directory) tellIfUnanswered(ctx context.Context) (answered func() bool) {
+func (d *Directory) reportUnanswered(ctx context.Context) (answered func() bool) {
 	timer := time.AfterFunc(hedgeTime, func() { d.post(ctx, message{ended: clock.Now(), unanswered: true}) })
 	return timer.Stop
 }
 
-func (d *Directory) readBackends(ctx context.Context) (message, follow) {
+func (d *Directory) readBackends(ctx context.Context) (message, changeFeed) {
 	began := clock.Now()
 	listed, err := d.readPages(ctx)
 	got := message{table: tableBackends, began: began, ended: clock.Now(), listed: &listed, err: err}
-	return got, follow{
+	return got, changeFeed{
 		after: listed.Version, until: untilNextReading(got.ended, backendsInterval, listed.Bytes),
 		keep: true, pause: backendPause, wait: backendWait, next: d.backendChanges,
 	}
@@ -269,14 +269,14 @@
 func (d *Directory) readPages(ctx context.Context) (Listed, error) {
 	bounded, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	retries := d.newRetrying()
+	retries := d.newRetryPacer()
 	listed, err := d.readPage(bounded, "")
 	for err == nil && listed.Next != "" {
 		var page Listed
 		page, err = d.readPage(bounded, listed.Next)
 		var limited *port.RateLimitedError
 		if errors.As(err, &limited) {
-			retries.after(bounded, err)
+			retries.pauseAfter(bounded, err)
 			err = bounded.Err()
 			continue
 		}
@@ -309,7 +309,7 @@
 }
 
 // readMembers reads the rows of all daemons, as of the moment of the first page.
-func (d *Directory) readMembers(ctx context.Context) (message, follow) {
+func (d *Directory) readMembers(ctx context.Context) (message, changeFeed) {
 	bounded, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	began := clock.Now()
@@ -323,8 +323,8 @@
 		next = page.Next
 	}
 	got := message{table: tableMembers, began: began, ended: clock.Now(), members: &read, err: err}
-	return got, follow{
-		after: read.Version, until: untilNextReading(got.ended, longestReadInterval, read.Bytes),
+	return got, changeFeed{
+		after: read.Version, until: untilNextReading(got.ended, maxReadInterval, read.Bytes),
 		keep: true, pause: memberPause, wait: memberWait, next: d.memberChanges,
 	}
 }
--- a/internal/directory/region.go
+++ b/internal/directory/region.go
@@ -13,17 +13,17 @@
 	// nearRounds is how many rounds a starting daemon asks those of its own region first: these
 	// may be starting too, or gone.
 	nearRounds = 3
-	// nearAsks is how many of the otherAsks daemons that are asked after those that surely know
+	// nearFallbackAsks is how many of the otherAsks daemons that are asked after those that surely know
 	// are near ones.
-	nearAsks = 3
-	// smallHandicap is how much longer daemons wait at a start that know of one with clearly more
+	nearFallbackAsks = 3
+	// lowCapacityHandicap is how much longer daemons wait at a start that know of one with clearly more
 	// room: where all start at once, one of those is first.
-	smallHandicap = 150 * time.Millisecond
+	lowCapacityHandicap = 150 * time.Millisecond
 )
 
-// nearFirst puts the daemons of this one's zone before the others, then those of its region, and keeps their order
+// sortByProximity puts the daemons of this one's zone before the others, then those of its region, and keeps their order
 // otherwise.
-func (d *Directory) nearFirst(addresses []string) {
+func (d *Directory) sortByProximity(addresses []string) {
 	near := d.options.Topology.Near(d.options.Self)
 	away := func(address string) int {
 		switch {
@@ -38,14 +38,14 @@
 	slices.SortStableFunc(addresses, func(left, right string) int { return cmp.Compare(away(left), away(right)) })
 }
 
-// anyOthers are some daemons, drawn at random, of which most are near ones.
-func (d *Directory) anyOthers() []string {
-	drawn := draw(d.options.Topology.Near(d.options.Self), nearAsks)
-	return append(drawn, draw(d.options.Others(), otherAsks-len(drawn))...)
+// randomPeers are some daemons, drawn at random, of which most are near ones.
+func (d *Directory) randomPeers() []string {
+	drawn := pickRandom(d.options.Topology.Near(d.options.Self), nearFallbackAsks)
+	return append(drawn, pickRandom(d.options.Others(), fallbackAsks-len(drawn))...)
 }
 
-// draw draws some of a list, none where it is empty.
-func draw(addresses []string, count int) []string {
+// pickRandom draws some of a list, none where it is empty.
+func pickRandom(addresses []string, count int) []string {
 	var drawn []string
 	for len(addresses) > 0 && len(drawn) < count {
 		drawn = append(drawn, addresses[rand.IntN(len(addresses))])
@@ -53,10 +53,10 @@
 	return drawn
 }
 
-// askedFor is whom this daemon asks for news of a reader: the daemons of the reader's region form a
+// upstreamOf is whom this daemon asks for news of a reader: the daemons of the reader's region form a
 // tree below it, so that each is asked by few, and those of another region one below the one that
 // asks the reader. Those with room are mostly high in it.
-func (d *Directory) askedFor(reader string) string {
+func (d *Directory) upstreamOf(reader string) string {
 	near := d.options.Topology.Near(d.options.Self)
 	all := slices.DeleteFunc(append(slices.Clone(near), d.options.Self), func(address string) bool { return address == reader })
 	ranked := d.options.Topology.Rank(rendezvous.Key(reader), all)
@@ -72,19 +72,19 @@
 
 // parent is the daemon above the one at a place of a ranking, in a tree below a root.
 func parent(root string, ranked []string, at int) string {
-	if at < askersEach {
+	if at < treeFanOut {
 		return root
 	}
-	return ranked[at/askersEach-1]
+	return ranked[at/treeFanOut-1]
 }
 
 // joinHandicap is how much longer a starting daemon asks others before it reads the store, where its
 // calls take long, or one of them has clearly more room.
 func (d *Directory) joinHandicap(contacts []string) time.Duration {
-	handicap := d.turn.handicap()
+	handicap := d.role.handicap()
 	own := d.options.Topology.CapacityOf(d.options.Self)
-	if slices.ContainsFunc(contacts, func(address string) bool { return d.options.Topology.CapacityOf(address) >= clearlyMore*own }) {
-		handicap += smallHandicap
+	if slices.ContainsFunc(contacts, func(address string) bool { return d.options.Topology.CapacityOf(address) >= capacityAdvantage*own }) {
+		handicap += lowCapacityHandicap
 	}
 	return handicap
 }
--- a/internal/directory/region_test.go
+++ b/internal/directory/region_test.go
@@ -38,7 +38,7 @@
 		for _, self := range removeAddress(all, reader) {
 			topology := topologyOf(self, all)
 			daemon := New(Options{Pool: backendpool.New("a"), Log: logging.Discard(), Self: self, Others: topology.Others, Topology: topology})
-			parents[self] = daemon.askedFor(reader)
+			parents[self] = daemon.upstreamOf(reader)
 			askers[parents[self]]++
 			if regionOf(self) != regionOf(parents[self]) {
 				crossings[regionOf(self)]++
@@ -52,7 +52,7 @@
 			}
 		}
 		for asked, count := range askers {
-			assert.Assert(t, count <= askersEach+len(crossings), "%s is asked by %d", asked, count)
+			assert.Assert(t, count <= treeFanOut+len(crossings), "%s is asked by %d", asked, count)
 		}
 		for region, count := range crossings {
 			assert.Equal(t, count, 1, "region %s", region)
@@ -66,7 +66,7 @@
 	topology := topologyOf("10.1.0.1", all)
 	daemon := New(Options{Pool: backendpool.New("a"), Log: logging.Discard(), Self: "10.1.0.1", Others: topology.Others, Topology: topology})
 	contacts := []string{"10.0.0.1", "10.1.0.3", "10.0.0.2", "10.1.0.2"}
-	daemon.nearFirst(contacts)
+	daemon.sortByProximity(contacts)
 	assert.DeepEqual(t, contacts, []string{"10.1.0.3", "10.1.0.2", "10.0.0.1", "10.0.0.2"})
 }
 
--- a/internal/directory/room_test.go
+++ b/internal/directory/room_test.go
@@ -13,9 +13,9 @@
 )
 
 // reader is the daemon that reads for all, or -1 where there is not exactly one.
-func (w *turnWorld) reader() int {
+func (w *roleSimulation) reader() int {
 	found := -1
-	for index, turn := range w.turns {
+	for index, turn := range w.roles {
 		if !turn.readsForAll() || w.frozen[index] {
 			continue
 		}
@@ -28,7 +28,7 @@
 }
 
 // play lets some time pass.
-func (w *turnWorld) play(length time.Duration) {
+func (w *roleSimulation) play(length time.Duration) {
 	for until := w.now.Add(length); w.now.Before(until); {
 		w.step()
 	}
@@ -38,7 +38,7 @@
 // with little: nearly always one with room takes over, as long as there are any.
 func TestReaderFallsToRoom(t *testing.T) {
 	const daemons, large = 40, 12
-	world := newTurnWorld(nil, daemons)
+	world := newRoleSimulation(nil, daemons)
 	for index := range large {
 		world.capacities[3*index] = 9
 	}
@@ -58,11 +58,11 @@
 
 // TestOfTwoReadersTheOneWithRoomStays stops the other one, whatever their addresses are.
 func TestOfTwoReadersTheOneWithRoomStays(t *testing.T) {
-	world := newTurnWorld(nil, 3)
+	world := newRoleSimulation(nil, 3)
 	world.capacities[2] = 9
 	for _, index := range []int{0, 2} {
-		world.turns[index].begin(world.now)
-		world.turns[index].readNews(world.now) // its calls don't fail
+		world.roles[index].begin(world.now)
+		world.roles[index].noteOwnNews(world.now) // its calls don't fail
 	}
 	world.play(2 * time.Second)
 	assert.Equal(t, world.reader(), 2)
@@ -74,7 +74,7 @@
 	const daemons = 12
 	near := 0
 	for round := range 20 {
-		world := newTurnWorld(nil, daemons)
+		world := newRoleSimulation(nil, daemons)
 		for index := range daemons {
 			world.storeTimes[index] = 45 * time.Millisecond
 			if (index+round)%3 == 0 {
@@ -105,8 +105,8 @@
 		return daemon.joinHandicap(slices.Clone(contacts))
 	}
 	assert.Equal(t, handicap("10.0.0.1", 0, "10.0.0.3"), time.Duration(0))
-	assert.Equal(t, handicap("10.0.0.1", 0, "10.0.0.2", "10.0.0.3"), smallHandicap)
+	assert.Equal(t, handicap("10.0.0.1", 0, "10.0.0.2", "10.0.0.3"), lowCapacityHandicap)
 	assert.Equal(t, handicap("10.0.0.2", 0, "10.0.0.1", "10.0.0.3"), time.Duration(0))
 	assert.Equal(t, handicap("10.0.0.2", 45*time.Millisecond, "10.0.0.1"), 180*time.Millisecond)
-	assert.Equal(t, handicap("10.0.0.2", time.Second, "10.0.0.1"), longestHandicap)
+	assert.Equal(t, handicap("10.0.0.2", time.Second, "10.0.0.1"), maxHandicap)
 }
--- a/internal/directory/snapshot.go
+++ b/internal/directory/snapshot.go
@@ -70,8 +70,8 @@
 	Adopt(source string, told []crashwatch.Evidence)
 }
 
-// shownLists are the lists that other daemons may be given.
-type shownLists struct {
+// publishedLists are the lists that other daemons may be given.
+type publishedLists struct {
 	backendsTo uint64
 	membersTo  uint64
 	members    []member.Descriptor
@@ -81,21 +81,21 @@
 	clock freshness
 }
 
-// showBackends lets other daemons see up to where the list is known.
-func (d *Directory) showBackends() {
-	shown := *d.shown.Load()
+// publishBackendPosition lets other daemons see up to where the list is known.
+func (d *Directory) publishBackendPosition() {
+	shown := *d.published.Load()
 	shown.backendsTo = d.positions[tableBackends].Load()
-	d.shown.Store(&shown)
+	d.published.Store(&shown)
 }
 
-// showRest lets other daemons see the members and the clock.
-func (d *Directory) showRest() {
-	shown := *d.shown.Load()
+// publishMembersAndClock lets other daemons see the members and the clock.
+func (d *Directory) publishMembersAndClock() {
+	shown := *d.published.Load()
 	shown.membersTo = d.positions[tableMembers].Load()
 	shown.members = d.members.all()
 	shown.digest = d.members.digest
 	shown.clock = *d.freshness[tableDeclared]
-	d.shown.Store(&shown)
+	d.published.Store(&shown)
 }
 
 // Snapshot returns what this daemon believes, as far as an asker lacks it. It waits a
@@ -121,7 +121,7 @@
 		pause.For(ctx, serveCheck)
 	}
 	confirmed := d.ConfirmedAt() // before what it confirms is looked up
-	state, shown := d.state.Load(), d.shown.Load()
+	state, shown := d.state.Load(), d.published.Load()
 	if state == nil || !d.listed.Load() {
 		return Snapshot{}, false
 	}
@@ -133,7 +133,7 @@
 		Confirmed:    shown.clock.storeTime(confirmed),
 		StoreVersion: d.positions[tableDeclared].Load(),
 		RowVersion:   state.RowVersion,
-		Versions:     allSeen(state),
+		Versions:     seenVersions(state),
 		BackendsTo:   shown.backendsTo,
 		MembersTo:    shown.membersTo,
 		MemberDigest: shown.digest,
@@ -157,7 +157,7 @@
 	if state == nil || !d.listed.Load() {
 		return have.NeedRowVersion == 0 && have.NeedBackendsTo == 0
 	}
-	return state.RowVersion >= have.NeedRowVersion && d.shown.Load().backendsTo >= have.NeedBackendsTo
+	return state.RowVersion >= have.NeedRowVersion && d.published.Load().backendsTo >= have.NeedBackendsTo
 }
 
 // adoption is a snapshot with when it was asked for and answered.
@@ -166,7 +166,7 @@
 	asked, answered time.Time
 	snapshot        Snapshot
 	// list is what was told of the back ends in an update; nil is nothing.
-	list *listNews
+	list *listDelta
 	// done is closed once it has been taken in; nil tells nobody.
 	done chan struct{}
 }
@@ -182,15 +182,15 @@
 		d.options.Quarantine.Adopt(got.from, snapshot.Crashes)
 	}
 	d.freshness[tableDeclared].adopt(got.asked, got.answered, snapshot.StoreVersion, snapshot.ClockLeast, snapshot.ClockMost)
-	d.takeSoftware(snapshot.Software, snapshot.StoreVersion)
+	d.mergeSoftware(snapshot.Software, snapshot.StoreVersion)
 	d.adoptDeclared(got)
-	list := cmp.Or(got.list, newsOfSnapshot(&snapshot))
+	list := cmp.Or(got.list, deltaOfSnapshot(&snapshot))
 	d.adoptBackends(list)
-	d.learnMembers(snapshot.Members, snapshot.MembersTo)
+	d.mergeMembers(snapshot.Members, snapshot.MembersTo)
 	if d.members.digest == snapshot.MemberDigest {
 		advance(d.positions[tableMembers], snapshot.MembersTo)
 	}
-	d.showRest()
+	d.publishMembersAndClock()
 	d.options.Log.WithFields(logrus.Fields{
 		"from": got.from, "store_version": snapshot.StoreVersion, "back_ends": list.size(),
 		"daemons": len(snapshot.Members), "configuration_age_ms": clock.Since(d.ConfirmedAt()).Milliseconds(),
@@ -202,7 +202,7 @@
 	snapshot := got.snapshot
 	state := d.state.Load()
 	known := state != nil && snapshot.RowVersion <= state.RowVersion
-	if !known && (snapshot.Configuration == nil || (state != nil && !replaces(snapshot.Configuration, snapshot.RowVersion, state))) {
+	if !known && (snapshot.Configuration == nil || (state != nil && !supersedes(snapshot.Configuration, snapshot.RowVersion, state))) {
 		return
 	}
 	if known && snapshot.RowVersion < state.RowVersion {
@@ -221,7 +221,7 @@
 	}
 	if at, clear := d.freshness[tableDeclared].localTime(snapshot.Confirmed); clear && !at.After(got.answered) {
 		d.confirm(at)
-		d.turn.adopted(at, got.from)
+		d.role.adopted(at, got.from)
 	}
 }
 
@@ -230,12 +230,12 @@
 func (d *Directory) adoptVersions(got *adoption) {
 	news := &DeclaredNews{Clock: got.snapshot.ClockLeast, Versions: got.snapshot.Versions}
 	if d.started {
-		if d.takeVersions(got.answered, news) {
+		if d.mergeVersions(got.answered, news) {
 			d.publishVersions()
 		}
 		return
 	}
 	for _, seen := range news.Versions {
-		d.nameVersion(got.answered, seen.Model, d.asTold(got.answered, seen, d.guess(seen.Version)))
+		d.nameVersion(got.answered, seen.Model, d.namedAsReported(got.answered, seen, d.guessedNaming(seen.Version)))
 	}
 }
--- a/internal/directory/software.go
+++ b/internal/directory/software.go
@@ -28,10 +28,10 @@
 	Standings []rollout.Standing
 }
 
-// softwareBelief is what this daemon knows of the software versions of services. Of each order
+// softwareState is what this daemon knows of the software versions of services. Of each order
 // the one with the highest number stays, and of each standing the furthest one, whoever told it,
 // also where the store has come back from a copy without it. It belongs to the goroutine of Run.
-type softwareBelief struct {
+type softwareState struct {
 	orders    map[identity.ServiceName]keptOrder
 	standings map[identity.ServiceName]keptStanding
 	// readAt is the position of the last reading.
@@ -40,8 +40,8 @@
 	noted func(before, after keptStanding)
 }
 
-func newSoftwareBelief(noted func(before, after keptStanding)) *softwareBelief {
-	return &softwareBelief{
+func newSoftwareState(noted func(before, after keptStanding)) *softwareState {
+	return &softwareState{
 		noted:     noted,
 		orders:    map[identity.ServiceName]keptOrder{},
 		standings: map[identity.ServiceName]keptStanding{},
@@ -49,7 +49,7 @@
 }
 
 // news tells all that is known, by service.
-func (b *softwareBelief) news() *SoftwareNews {
+func (b *softwareState) news() *SoftwareNews {
 	told := &SoftwareNews{}
 	for _, service := range slices.Sorted(maps.Keys(b.orders)) {
 		told.Orders = append(told.Orders, b.orders[service].news()...)
@@ -61,7 +61,7 @@
 }
 
 // services are what requests are decided on.
-func (b *softwareBelief) services() map[identity.ServiceName]rollout.Service {
+func (b *softwareState) services() map[identity.ServiceName]rollout.Service {
 	known := make(map[identity.ServiceName]rollout.Service, len(b.standings))
 	for name, kept := range b.standings {
 		known[name] = rollout.Service{Standing: kept.Standing, Lost: kept.lost(), Stored: kept.stored}
@@ -84,7 +84,7 @@
 // StoreClock is what the store's clock has at least reached at a time, and about what it
 // shows; false while that is not known.
 func (d *Directory) StoreClock(now time.Time) (time.Duration, bool) {
-	shown := d.shown.Load()
+	shown := d.published.Load()
 	return shown.clock.now(now)
 }
 
@@ -106,7 +106,7 @@
 // readOrder takes in an order that a reading showed; before is the position of the one before it. It returns true when that
 // changed anything.
 func (d *Directory) readOrder(before uint64, declared *Declared, read rollout.Order) bool {
-	order, lost, newer := d.software.numbered(read, before, declared)
+	order, lost, newer := d.software.assignNumber(read, before, declared)
 	if !newer {
 		return false
 	}
@@ -120,7 +120,7 @@
 	if !known {
 		since = declared.Clock
 	}
-	return d.takeOrder(OrderNews{Order: order, Since: since, Guessed: !known}, declared.Version)
+	return d.mergeOrder(OrderNews{Order: order, Since: since, Guessed: !known}, declared.Version)
 }
 
 // absentSince is the newest time of the store's clock at which an order that has just been read
@@ -138,29 +138,29 @@
 	return since, since > 0
 }
 
-// takeSoftware takes in what another daemon told as of a position of the store, and publishes it. Nil
+// mergeSoftware takes in what another daemon told as of a position of the store, and publishes it. Nil
 // is what a daemon tells that doesn't know of software versions.
-func (d *Directory) takeSoftware(told *SoftwareNews, at uint64) {
+func (d *Directory) mergeSoftware(told *SoftwareNews, at uint64) {
 	if told == nil || !d.options.Software {
 		return
 	}
 	at = max(at, d.positions[tableDeclared].Load())
 	changed := false
 	for _, order := range told.Orders {
-		changed = d.takeOrder(order, at) || changed
+		changed = d.mergeOrder(order, at) || changed
 	}
 	for _, standing := range told.Standings {
-		changed = d.software.takeStanding(standing) || changed
+		changed = d.software.mergeStanding(standing) || changed
 	}
 	if changed {
 		d.publishSoftware()
 	}
 }
 
-// takeOrder takes in an order as of a position of the store. It returns true when that changed anything.
-func (d *Directory) takeOrder(told OrderNews, at uint64) bool {
+// mergeOrder takes in an order as of a position of the store. It returns true when that changed anything.
+func (d *Directory) mergeOrder(told OrderNews, at uint64) bool {
 	before := d.software.orders[told.Order.Service].Order.Number
-	if !d.software.takeOrder(told, at) {
+	if !d.software.mergeOrder(told, at) {
 		return false
 	}
 	if told.Order.Number > before {
@@ -188,15 +188,15 @@
 
 // applyStanding takes in a standing that a daemon has written.
 func (d *Directory) applyStanding(standing rollout.Standing) {
-	d.takeSoftware(&SoftwareNews{Standings: []rollout.Standing{standing}}, 0)
+	d.mergeSoftware(&SoftwareNews{Standings: []rollout.Standing{standing}}, 0)
 }
 
 // publishSoftware puts what is known of software versions in force, if there is a
 // configuration, and lets other daemons see it.
 func (d *Directory) publishSoftware() {
-	shown := *d.shown.Load()
+	shown := *d.published.Load()
 	shown.software = d.software.news()
-	d.shown.Store(&shown)
+	d.published.Store(&shown)
 	state := d.state.Load()
 	if state == nil {
 		return
--- a/internal/directory/software_test.go
+++ b/internal/directory/software_test.go
@@ -45,15 +45,15 @@
 	return &declared
 }
 
-// take lets a daemon take a reading in whose call took no time.
-func take(directory *Directory, at time.Time, declared *Declared) {
+// applyReading lets a daemon applyReading a reading in whose call took no time.
+func applyReading(directory *Directory, at time.Time, declared *Declared) {
 	directory.apply(message{table: tableDeclared, began: at, ended: at, declared: declared})
 }
 
 // softwareFollower has read the store at a time at which its clock showed 50 s.
 func softwareFollower(began time.Time) *Directory {
 	follower := softwareDaemon(logging.Discard())
-	take(follower, began, softwareReading(10, 50*time.Second))
+	applyReading(follower, began, softwareReading(10, 50*time.Second))
 	follower.listed.Store(true)
 	return follower
 }
@@ -66,18 +66,18 @@
 	follower.apply(message{table: tableDeclared, began: began.Add(time.Second), ended: began.Add(time.Second), checked: follower.rows})
 	ordered := softwareReading(20, 53*time.Second)
 	ordered.Orders = []rollout.Order{order(20, "v2")}
-	take(follower, began.Add(3*time.Second), ordered)
+	applyReading(follower, began.Add(3*time.Second), ordered)
 	known := follower.State().Software["s"]
 	assert.Equal(t, *known.Order, order(20, "v2"))
 	assert.Equal(t, known.OrderSince, 51*time.Second)
 
 	starter := softwareDaemon(logging.Discard())
-	take(starter, began, ordered)
+	applyReading(starter, began, ordered)
 	assert.Equal(t, starter.State().Software["s"].OrderSince, 53*time.Second)
 	assert.Assert(t, starter.softwareNews().Orders[0].Guessed)
-	starter.takeSoftware(follower.softwareNews(), 20)
+	starter.mergeSoftware(follower.softwareNews(), 20)
 	assert.Equal(t, starter.State().Software["s"].OrderSince, 51*time.Second)
-	follower.takeSoftware(&SoftwareNews{Orders: []OrderNews{{Order: order(20, "v2"), Since: 53 * time.Second, Guessed: true}}}, 20)
+	follower.mergeSoftware(&SoftwareNews{Orders: []OrderNews{{Order: order(20, "v2"), Since: 53 * time.Second, Guessed: true}}}, 20)
 	assert.Equal(t, follower.State().Software["s"].OrderSince, 51*time.Second)
 }
 
@@ -88,7 +88,7 @@
 	follower := softwareFollower(began)
 	ordered := softwareReading(20, 53*time.Second)
 	ordered.Orders = []rollout.Order{{Service: "other", Target: "v2", Number: 20}}
-	take(follower, began.Add(3*time.Second), ordered)
+	applyReading(follower, began.Add(3*time.Second), ordered)
 	assert.Assert(t, follower.softwareNews().Orders[0].Guessed)
 	assert.Equal(t, follower.State().Software["other"].OrderSince, 53*time.Second)
 }
@@ -101,16 +101,16 @@
 	newest := softwareReading(30, 60*time.Second)
 	newest.Orders = []rollout.Order{order(20, "v2")}
 	newest.Standings = []rollout.Standing{standing(30, rollout.StageShift)}
-	take(follower, began.Add(10*time.Second), newest)
+	applyReading(follower, began.Add(10*time.Second), newest)
 	for _, store := range []uint64{25, 31} { // passed over, and admitted
 		old := softwareReading(store, 61*time.Second)
 		old.Orders = []rollout.Order{order(15, "v3")}
 		old.Standings = []rollout.Standing{standing(25, rollout.StageTrial)}
-		take(follower, began.Add(11*time.Second), old)
+		applyReading(follower, began.Add(11*time.Second), old)
 	}
-	take(follower, began.Add(12*time.Second), softwareReading(32, 62*time.Second)) // rows gone
+	applyReading(follower, began.Add(12*time.Second), softwareReading(32, 62*time.Second)) // rows gone
 	follower.applyStanding(standing(29, rollout.StageTrial))
-	follower.takeDeclared(began, "a", &DeclaredNews{Clock: 60 * time.Second, RowVersion: 10, Software: &SoftwareNews{
+	follower.mergeDeclaredNews(began, "a", &DeclaredNews{Clock: 60 * time.Second, RowVersion: 10, Software: &SoftwareNews{
 		Orders: []OrderNews{{Order: order(15, "v3")}}, Standings: []rollout.Standing{standing(25, rollout.StageTrial)},
 	}})
 	known := follower.State().Software["s"]
@@ -125,16 +125,16 @@
 	reader, follower := softwareFollower(began), softwareFollower(began)
 	var told []*DeclaredNews
 	reader.options.Tell = func(bulletin Bulletin) { told = append(told, bulletin.Declared) }
-	reader.turn.begin(began)
+	reader.role.begin(began)
 	ordered := softwareReading(20, 51*time.Second)
 	ordered.Orders = []rollout.Order{order(20, "v2")}
-	take(reader, began.Add(time.Second), ordered)
+	applyReading(reader, began.Add(time.Second), ordered)
 	decided := softwareReading(21, 52*time.Second)
 	decided.Orders, decided.Standings = ordered.Orders, []rollout.Standing{standing(21, rollout.StageTrial)}
-	take(reader, began.Add(2*time.Second), decided)
+	applyReading(reader, began.Add(2*time.Second), decided)
 	assert.Equal(t, len(told), 2)
 
-	follower.takeDeclared(began.Add(3*time.Second), "a", carried(t, told[1])) // the first one is lost
+	follower.mergeDeclaredNews(began.Add(3*time.Second), "a", roundTripNews(t, told[1])) // the first one is lost
 	assert.DeepEqual(t, follower.State().Software, reader.State().Software)
 	assert.Equal(t, follower.ConfirmedAt(), began.Add(2*time.Second))
 }
@@ -147,8 +147,8 @@
 	return encoded
 }
 
-// carried is news as it is after its way between two processes.
-func carried(t *testing.T, told *DeclaredNews) *DeclaredNews {
+// roundTripNews is news as it is after its way between two processes.
+func roundTripNews(t *testing.T, told *DeclaredNews) *DeclaredNews {
 	t.Helper()
 	var got DeclaredNews
 	assert.NilError(t, msgpack.Unmarshal(encode(t, told), &got))
@@ -162,7 +162,7 @@
 	began := time.Now()
 	follower := softwareFollower(began)
 	older := &DeclaredNews{Clock: 52 * time.Second, StoreVersion: 12, RowVersion: 10}
-	follower.takeDeclared(began.Add(3*time.Second), "a", older)
+	follower.mergeDeclaredNews(began.Add(3*time.Second), "a", older)
 	assert.Equal(t, follower.ConfirmedAt(), began)
 	asked := began.Add(4 * time.Second)
 	snapshot := Snapshot{Complete: true, RowVersion: 10, Confirmed: 53 * time.Second, StoreVersion: 13}
@@ -176,7 +176,7 @@
 	plain := readFollower(t)
 	confirmed := plain.ConfirmedAt()
 	older.RowVersion, older.Software = 10, &SoftwareNews{Standings: []rollout.Standing{standing(13, rollout.StageTrial)}}
-	plain.takeDeclared(began.Add(3*time.Second), "a", older)
+	plain.mergeDeclaredNews(began.Add(3*time.Second), "a", older)
 	assert.Assert(t, plain.ConfirmedAt().After(confirmed))
 	assert.Assert(t, plain.State().Software == nil)
 	assert.Assert(t, plain.Snapshot(context.Background(), Have{}).Software == nil)
@@ -207,7 +207,7 @@
 	ordered := softwareReading(20, 51*time.Second)
 	ordered.Orders = []rollout.Order{order(20, "v2")}
 	ordered.Standings = []rollout.Standing{standing(20, rollout.StageTrial)}
-	take(known, began.Add(time.Second), ordered)
+	applyReading(known, began.Add(time.Second), ordered)
 	starter := softwareDaemon(logging.Discard())
 	answered := time.Now()
 	snapshot := known.Snapshot(context.Background(), Have{})
@@ -225,10 +225,10 @@
 	began := time.Now()
 	good := softwareReading(20, 51*time.Second)
 	good.Orders = []rollout.Order{order(20, "v2")}
-	take(directory, began, good)
+	applyReading(directory, began, good)
 	malformed := softwareReading(21, 52*time.Second)
 	malformed.Malformed = fmt.Errorf("rollout/s: names no version")
-	take(directory, began.Add(time.Second), malformed)
+	applyReading(directory, began.Add(time.Second), malformed)
 	assert.Equal(t, directory.State().Software["s"].Order.Number, uint64(20))
 	line := hook.LastEntry()
 	assert.Assert(t, strings.Contains(line.Message, "malformed"))
@@ -253,11 +253,11 @@
 		}
 		first, second := softwareDaemon(logging.Discard()), softwareDaemon(logging.Discard())
 		for index := range told {
-			first.takeSoftware(&told[index], 5)
+			first.mergeSoftware(&told[index], 5)
 		}
 		for _, index := range rapid.Permutation(indexesOf(told)).Draw(t, "order of the other one") {
-			second.takeSoftware(&told[index], 5)
-			second.takeSoftware(&told[rapid.IntRange(0, len(told)-1).Draw(t, "again")], 5)
+			second.mergeSoftware(&told[index], 5)
+			second.mergeSoftware(&told[rapid.IntRange(0, len(told)-1).Draw(t, "again")], 5)
 		}
 		assert.DeepEqual(t, first.softwareNews(), second.softwareNews())
 	})
@@ -297,15 +297,15 @@
 
 // TestNewsOfSoftwareIsSmall bounds what a bulletin tells of eight services with an order each.
 func TestNewsOfSoftwareIsSmall(t *testing.T) {
-	belief := newSoftwareBelief(func(_, _ keptStanding) {})
+	belief := newSoftwareState(func(_, _ keptStanding) {})
 	for index := range 8 {
 		name := identity.ServiceName(fmt.Sprintf("service%d", index))
 		told := order(1_000_000, "v12")
 		told.Service = name
-		belief.takeOrder(OrderNews{Order: told, Since: time.Hour}, 20)
+		belief.mergeOrder(OrderNews{Order: told, Since: time.Hour}, 20)
 		kept := standing(1_000_001, rollout.StageCompleted)
 		kept.Service, kept.BeganAt, kept.Deadline = name, time.Hour, time.Hour
-		belief.takeStanding(kept)
+		belief.mergeStanding(kept)
 	}
 	encoded := encode(t, belief.news())
 	t.Logf("%d bytes", len(encoded))
--- a/internal/directory/softwareorders.go
+++ b/internal/directory/softwareorders.go
@@ -9,8 +9,8 @@
 	"github.com/lotusward/lotusward/internal/port"
 )
 
-// keptFormerOrders is how many orders before the newest one of a service are remembered.
-const keptFormerOrders = 4
+// maxFormerOrders is how many orders before the newest one of a service are remembered.
+const maxFormerOrders = 4
 
 // keptOrder is the newest known order of a service.
 type keptOrder struct {
@@ -31,15 +31,15 @@
 	return left.Target == right.Target && left.Duration == right.Duration
 }
 
-// takeOrder keeps an order that was known as of a position of the store, as the newest one or as a former one. It returns
+// mergeOrder keeps an order that was known as of a position of the store, as the newest one or as a former one. It returns
 // true when that changed anything.
-func (b *softwareBelief) takeOrder(told OrderNews, at uint64) bool {
+func (b *softwareState) mergeOrder(told OrderNews, at uint64) bool {
 	known, found := b.orders[told.Order.Service]
 	switch {
 	case !found:
 		known = keptOrder{OrderNews: told, at: at}
 	case sameOrder(told.Order, known.Order):
-		return b.takeOrderAgain(known, told)
+		return b.mergeSameOrder(known, told)
 	case told.Order.Number > known.Order.Number:
 		known = keptOrder{OrderNews: told, at: at, former: known.withFormer(known.Order)}
 	case known.isFormer(told.Order):
@@ -55,10 +55,10 @@
 	return true
 }
 
-// tellsSinceBetter tells whether the time of one order is closer to when it came than another
+// hasBetterSince tells whether the time of one order is closer to when it came than another
 // one's: a time at which it was not there is better than a guess, and the latest of these the
 // closest; of guesses the first.
-func (n OrderNews) tellsSinceBetter(than OrderNews) bool {
+func (n OrderNews) hasBetterSince(than OrderNews) bool {
 	switch {
 	case n.Guessed != than.Guessed:
 		return !n.Guessed
@@ -69,9 +69,9 @@
 	}
 }
 
-// takeOrderAgain takes in what is told of the newest known order. It returns true when that changed anything.
-func (b *softwareBelief) takeOrderAgain(known keptOrder, told OrderNews) bool {
-	better, higher := told.tellsSinceBetter(known.OrderNews), told.Order.Number > known.Order.Number
+// mergeSameOrder takes in what is told of the newest known order. It returns true when that changed anything.
+func (b *softwareState) mergeSameOrder(known keptOrder, told OrderNews) bool {
+	better, higher := told.hasBetterSince(known.OrderNews), told.Order.Number > known.Order.Number
 	if better {
 		known.Since, known.Guessed = told.Since, told.Guessed
 	}
@@ -90,7 +90,7 @@
 func (k keptOrder) withFormer(order rollout.Order) []rollout.Order {
 	former := append(slices.Clone(k.former), order)
 	slices.SortFunc(former, func(left, right rollout.Order) int { return cmp.Compare(left.Number, right.Number) })
-	return former[max(len(former)-keptFormerOrders, 0):]
+	return former[max(len(former)-maxFormerOrders, 0):]
 }
 
 // news tells the newest order and the former ones.
@@ -104,7 +104,7 @@
 
 // newestOrder is the newest known order of a service, and the position of the store as of which it is known: that of a standing
 // that was read, or the kept one. Its number is zero where there is none.
-func (b *softwareBelief) newestOrder(service identity.ServiceName, read []rollout.Standing) (newest rollout.Order, at uint64) {
+func (b *softwareState) newestOrder(service identity.ServiceName, read []rollout.Standing) (newest rollout.Order, at uint64) {
 	known := b.orders[service]
 	newest, at = known.Order, known.at
 	for _, standing := range read {
@@ -116,11 +116,11 @@
 	return newest, at
 }
 
-// numbered gives an order that a reading of the store showed its number. A store that came back from a copy gives versions out
+// assignNumber gives an order that a reading of the store showed its number. A store that came back from a copy gives versions out
 // again: the row may be of before, or a later one with a lower version. Newer is false for one of before. Lost is the number under
 // which the order was known where the copy lacked it and the operator has written it again, else zero. Before is the position of the
 // reading before this one.
-func (b *softwareBelief) numbered(read rollout.Order, before uint64, declared *Declared) (order rollout.Order, lost uint64, newer bool) {
+func (b *softwareState) assignNumber(read rollout.Order, before uint64, declared *Declared) (order rollout.Order, lost uint64, newer bool) {
 	newest, at := b.newestOrder(read.Service, declared.Standings)
 	era := port.EraOf(declared.Version)
 	raised := read
@@ -144,7 +144,7 @@
 
 // copyHoldsFormer tells whether a row that was read is of an order before the newest one, which a copy holds. One that was written
 // after the reading before in the same era isn't, though the version and the target are the same.
-func (b *softwareBelief) copyHoldsFormer(read, newest rollout.Order, before, era uint64) bool {
+func (b *softwareState) copyHoldsFormer(read, newest rollout.Order, before, era uint64) bool {
 	writtenSince := port.EraOf(before) == era && read.Number > port.VersionOf(before)
 	return !writtenSince && read.Number < port.VersionOf(newest.Number) && b.orders[read.Service].isFormer(read)
 }
@@ -167,7 +167,7 @@
 }
 
 // renumber gives the newest known order another number, as of a position of the store, and a standing of it too.
-func (b *softwareBelief) renumber(order rollout.Order, lost, at uint64) {
+func (b *softwareState) renumber(order rollout.Order, lost, at uint64) {
 	known := b.orders[order.Service]
 	kept := b.standings[order.Service]
 	if known.Order.Number != lost {
@@ -177,6 +177,6 @@
 	b.orders[order.Service] = known
 	if kept.Order == lost {
 		kept.Order, kept.changed = order.Number, true
-		b.keepStanding(kept)
+		b.storeStanding(kept)
 	}
 }
--- a/internal/directory/softwarereturn_test.go
+++ b/internal/directory/softwarereturn_test.go
@@ -149,11 +149,11 @@
 		}
 		read := func(at int) {
 			now = now.Add(time.Second)
-			take(daemons[at], now, store.reading())
+			applyReading(daemons[at], now, store.reading())
 			store.follow(t, daemons[at])
 		}
 		tell := func(from, to int) {
-			daemons[to].takeSoftware(daemons[from].softwareNews(), daemons[from].positions[tableDeclared].Load())
+			daemons[to].mergeSoftware(daemons[from].softwareNews(), daemons[from].positions[tableDeclared].Load())
 		}
 		tellAll := func(from int) {
 			for to := range daemons {
--- a/internal/directory/standings.go
+++ b/internal/directory/standings.go
@@ -17,26 +17,26 @@
 // lost tells whether the store doesn't hold the standing: it came back from a copy.
 func (k keptStanding) lost() bool { return k.changed || k.Row < k.stored }
 
-// follow keeps a standing that is further than the known one, or the same one in a later row.
-func (k *keptStanding) follow(told rollout.Standing) {
+// adopt keeps a standing that is further than the known one, or the same one in a later row.
+func (k *keptStanding) adopt(told rollout.Standing) {
 	again := !k.FurtherThan(told) && told.Row > k.Row
 	if k.Service == "" || told.FurtherThan(k.Standing) || again {
 		k.Standing, k.changed = told, false
 	}
 }
 
-// takeStanding takes in a standing that a daemon has written, or tells. It returns true when that changed anything.
-func (b *softwareBelief) takeStanding(told rollout.Standing) bool {
+// mergeStanding takes in a standing that a daemon has written, or tells. It returns true when that changed anything.
+func (b *softwareState) mergeStanding(told rollout.Standing) bool {
 	kept := b.standings[told.Service]
-	kept.follow(told)
+	kept.adopt(told)
 	if told.Row > b.readAt {
 		kept.stored = max(kept.stored, told.Row)
 	}
-	return b.keepStanding(kept)
+	return b.storeStanding(kept)
 }
 
 // readStandings takes in the standings that the store held at a position.
-func (b *softwareBelief) readStandings(at uint64, read []rollout.Standing) bool {
+func (b *softwareState) readStandings(at uint64, read []rollout.Standing) bool {
 	if at < b.readAt {
 		return false
 	}
@@ -46,8 +46,8 @@
 	for _, standing := range read {
 		stored[standing.Service] = standing.Row
 		kept := b.standings[standing.Service]
-		kept.follow(standing)
-		changed = b.keepStanding(kept) || changed
+		kept.adopt(standing)
+		changed = b.storeStanding(kept) || changed
 	}
 	for service, kept := range b.standings {
 		if kept.stored > at {
@@ -55,12 +55,12 @@
 		}
 		kept.stored = stored[service]
 		kept.changed = kept.changed || kept.stored == 0
-		changed = b.keepStanding(kept) || changed
+		changed = b.storeStanding(kept) || changed
 	}
 	return changed
 }
 
-func (b *softwareBelief) keepStanding(kept keptStanding) bool {
+func (b *softwareState) storeStanding(kept keptStanding) bool {
 	before := b.standings[kept.Service]
 	if kept == before {
 		return false
--- a/internal/directory/takeover_test.go
+++ b/internal/directory/takeover_test.go
@@ -22,15 +22,15 @@
 	{300 * time.Millisecond, 1200 * time.Millisecond}, {500 * time.Millisecond, 2 * time.Second}, {500 * time.Millisecond, 4 * time.Second},
 }
 
-// waitingTurns are the turns of some of the daemons of a fleet, whose reader told news at a moment and is gone.
-func waitingTurns(setting takeoverSetting, daemons int, left []int, newsAt time.Time, storeTime time.Duration) []*turn {
+// waitingRoles are the turns of some of the daemons of a fleet, whose reader told news at a moment and is gone.
+func waitingRoles(setting takeoverSetting, daemons int, left []int, newsAt time.Time, storeTime time.Duration) []*readerRole {
 	addresses := make([]string, daemons)
 	for index := range addresses {
-		addresses[index] = turnAddress(index)
+		addresses[index] = daemonAddress(index)
 	}
-	var turns []*turn
+	var turns []*readerRole
 	for _, index := range left {
-		made := newTurn(turnOptions{
+		made := newReaderRole(readerRoleOptions{
 			self: addresses[index], interval: setting.interval, newsBound: setting.bound, others: func() []string { return addresses },
 			storeTime: func() time.Duration { return storeTime },
 		})
@@ -51,8 +51,8 @@
 		storeTime := rapid.SampledFrom([]time.Duration{0, 5 * time.Millisecond, time.Second}).Draw(t, "store time")
 		newsAt := time.Unix(1_000_000, 0)
 		due := newsAt.Add(setting.bound - readingMargin + time.Millisecond)
-		for _, turn := range waitingTurns(setting, daemons, left, newsAt, storeTime) {
-			assert.Assert(t, turn.due(due, tableDeclared).begins, "one of %d daemons waits on", daemons)
+		for _, turn := range waitingRoles(setting, daemons, left, newsAt, storeTime) {
+			assert.Assert(t, turn.decide(due, tableDeclared).begins, "one of %d daemons waits on", daemons)
 		}
 	})
 }
@@ -76,7 +76,7 @@
 	poll.WaitOn(t, inForce(directory, 7))
 	select {
 	case at := <-tried:
-		assert.Assert(t, at.Sub(directory.ConfirmedAt()) < directory.turn.overdueAfter()+hedgeTime)
+		assert.Assert(t, at.Sub(directory.ConfirmedAt()) < directory.role.overdueAfter()+hedgeTime)
 	case <-time.After(callTimeout):
 		t.Fatal("the daemon doesn't tell that the store is silent")
 	}
@@ -95,12 +95,12 @@
 						all = append(all, index+1)
 					}
 					var delays []time.Duration
-					for _, turn := range waitingTurns(setting, daemons, all, time.Unix(1_000_000, 0), storeTime) {
+					for _, turn := range waitingRoles(setting, daemons, all, time.Unix(1_000_000, 0), storeTime) {
 						delays = append(delays, turn.delay())
 					}
 					first := slices.Min(delays)
 					delays = slices.DeleteFunc(delays, func(delay time.Duration) bool { return delay > first+onItsWay })
-					assert.Assert(t, len(delays) <= successors+2, "%d of %d daemons took over", len(delays), daemons)
+					assert.Assert(t, len(delays) <= firstSuccessors+2, "%d of %d daemons took over", len(delays), daemons)
 				})
 			}
 		}
--- a/internal/directory/toldversion_test.go
+++ b/internal/directory/toldversion_test.go
@@ -17,9 +17,9 @@
 	reader := New(Options{
 		Pool: backendpool.New("a"), Log: logging.Discard(), Self: "a", Tell: func(bulletin Bulletin) { *told = append(*told, bulletin) },
 	})
-	reader.turn.open()
+	reader.role.open()
 	began := time.Now()
-	assert.Assert(t, reader.turn.due(began, tableBackends).begins)
+	assert.Assert(t, reader.role.decide(began, tableBackends).begins)
 	listed := Listed{Reading: Reading{Version: 5}, Backends: []backendpool.Backend{{ID: identity.NewBackendID("e1", 7)}}}
 	reader.apply(message{table: tableBackends, began: began, ended: began, listed: &listed})
 	return reader
@@ -34,7 +34,7 @@
 	for range 3 {
 		told = nil
 		for until := now.Add(versionInterval + repeatInterval); now.Before(until); now = now.Add(repeatInterval) {
-			reader.tellAgain(now)
+			reader.rebroadcast(now)
 		}
 		versions := 0
 		for _, bulletin := range told {
@@ -46,8 +46,8 @@
 			follower := New(Options{Pool: backendpool.New("a"), Log: logging.Discard(), Self: "b", Tell: func(Bulletin) {}})
 			follower.listed.Store(true)
 			advance(follower.positions[tableBackends], 4)
-			follower.takeBackends("a", bulletin.Backends)
-			assert.Equal(t, follower.lag.Load().need.NeedBackendsTo, uint64(5))
+			follower.mergeBackendNews("a", bulletin.Backends)
+			assert.Equal(t, follower.missing.Load().need.NeedBackendsTo, uint64(5))
 		}
 		assert.Assert(t, versions > 0 && versions <= 3, "the version was told %d times", versions)
 	}
--- a/internal/directory/turn.go
+++ b/internal/directory/turn.go
@@ -11,15 +11,15 @@
 	// that its idea of the store's clock stays true: usual steady clocks differ by less than
 	// 100 parts in a million, which is 60 ms in this time and within clockSlack.
 	ownReadingInterval = 10 * time.Minute
-	// longestTurnCheck bounds how long a daemon that isn't reading waits until it looks
+	// maxRoleCheck bounds how long a daemon that isn't reading waits until it looks
 	// again.
-	longestTurnCheck = time.Second
-	// clearlyMore is how many times the other's capacity a reader must have to stay whatever
+	maxRoleCheck = time.Second
+	// capacityAdvantage is how many times the other's capacity a reader must have to stay whatever
 	// their addresses are. Daemons that don't know another's capacity yet take it for a small
 	// machine's.
-	clearlyMore = 2
-	// shortestTurnCheck bounds how often it looks.
-	shortestTurnCheck = 10 * time.Millisecond
+	capacityAdvantage = 2
+	// minRoleCheck bounds how often it looks.
+	minRoleCheck = 10 * time.Millisecond
 )
 
 // task is what a daemon is to do about a table.
@@ -32,8 +32,8 @@
 	taskReadWhole
 )
 
-// turnOptions are what a turn works with.
-type turnOptions struct {
+// readerRoleOptions are what a turn works with.
+type readerRoleOptions struct {
 	// self is this daemon's address; of two readers the one with the lesser address
 	// stays.
 	self string
@@ -51,12 +51,12 @@
 	storeTime func() time.Duration
 }
 
-// turn decides whether this daemon reads the store, or leaves that to another one that
+// readerRole decides whether this daemon reads the store, or leaves that to another one that
 // tells what it reads. There is no election: a daemon without news reads and tells. Of two that
 // do, one stops: the one whose calls fail, or that with clearly less capacity, or else that with
 // the greater address. It is safe for use by several goroutines.
-type turn struct {
-	options turnOptions
+type readerRole struct {
+	options readerRoleOptions
 
 	mutex sync.Mutex
 	// opened is set once the daemon may read the store at all.
@@ -67,10 +67,10 @@
 	// newsAt is when news last came, read or told, and newsFrom who told it.
 	newsAt   time.Time
 	newsFrom string
-	// patience is how long this daemon waits after newsAt before it reads itself; it was
+	// newsTimeout is how long this daemon waits after newsAt before it reads itself; it was
 	// drawn for the news of patienceFor.
-	patience    time.Duration
-	patienceFor time.Time
+	newsTimeout    time.Duration
+	newsTimeoutFor time.Time
 	// triedAt is when another daemon last told that its call of the store failed, and
 	// extended is set once this one has waited longer because of it.
 	triedAt  time.Time
@@ -83,7 +83,7 @@
 	changed chan struct{}
 }
 
-func newTurn(options turnOptions) *turn {
+func newReaderRole(options readerRoleOptions) *readerRole {
 	if options.newsBound == 0 {
 		options.newsBound = defaultNewsIntervals * options.interval
 	}
@@ -96,14 +96,14 @@
 	if options.storeTime == nil {
 		options.storeTime = func() time.Duration { return 0 }
 	}
-	return &turn{
+	return &readerRole{
 		options: options, opened: options.alone,
 		ownAt: map[table]time.Time{}, wanted: map[table]bool{}, changed: make(chan struct{}),
 	}
 }
 
 // open lets the daemon read the store.
-func (t *turn) open() {
+func (t *readerRole) open() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.opened = true
@@ -111,34 +111,34 @@
 }
 
 // wake makes waiting goroutines look again. The caller holds the mutex.
-func (t *turn) wake() {
+func (t *readerRole) wake() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// heard notes news from another daemon, which is of a time. It returns true when this daemon
+// noteNewsFrom notes news from another daemon, which is of a time. It returns true when this daemon
 // stops reading for all because of it. What is no newer than the known news is none.
-func (t *turn) heard(now, at time.Time, from string) bool {
+func (t *readerRole) noteNewsFrom(now, at time.Time, from string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.noteNews(at, from)
 	lately := 2 * t.options.interval
 	failing := now.Sub(t.ownAt[tableDeclared]) > lately
-	stops := t.reads && now.Sub(at) <= lately && (failing || t.precedes(from))
+	stops := t.reads && now.Sub(at) <= lately && (failing || t.yieldsTo(from))
 	if stops {
 		t.reads = false
 	}
 	return stops
 }
 
-// precedes tells whether of two readers another one stays: the one with clearly more room, else the
+// yieldsTo tells whether of two readers another one stays: the one with clearly more room, else the
 // one with the lesser address.
-func (t *turn) precedes(other string) bool {
+func (t *readerRole) yieldsTo(other string) bool {
 	own, others := t.options.capacity(t.options.self), t.options.capacity(other)
 	switch {
-	case others >= clearlyMore*own:
+	case others >= capacityAdvantage*own:
 		return true
-	case own >= clearlyMore*others:
+	case own >= capacityAdvantage*others:
 		return false
 	default:
 		return other < t.options.self
@@ -146,31 +146,31 @@
 }
 
 // adopted notes that another daemon's belief was taken in, which was the newest at a time.
-func (t *turn) adopted(confirmed time.Time, from string) {
+func (t *readerRole) adopted(confirmed time.Time, from string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.noteNews(confirmed, from)
 }
 
 // noteNews keeps the newest news. The caller holds the mutex.
-func (t *turn) noteNews(at time.Time, from string) {
+func (t *readerRole) noteNews(at time.Time, from string) {
 	if at.After(t.newsAt) {
 		t.newsAt = at
 		t.newsFrom = from
 	}
 }
 
-// tried notes that another daemon's call of the store failed: the store may be away for all,
+// noteFailedTry notes that another daemon's call of the store failed: the store may be away for all,
 // and not all need to find that out.
-func (t *turn) tried(now time.Time) {
+func (t *readerRole) noteFailedTry(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.triedAt = now
 }
 
-// readNews notes news that this daemon read itself. It returns true when it reads for
+// noteOwnNews notes news that this daemon read itself. It returns true when it reads for
 // all, so that the others are to be told.
-func (t *turn) readNews(now time.Time) bool {
+func (t *readerRole) noteOwnNews(now time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.newsAt = later(t.newsAt, now)
@@ -178,9 +178,9 @@
 	return t.noteRead(now, tableDeclared)
 }
 
-// readList notes that this daemon read a list. It returns true when the others are to be
+// noteOwnRead notes that this daemon read a list. It returns true when the others are to be
 // told.
-func (t *turn) readList(now time.Time, which table) bool {
+func (t *readerRole) noteOwnRead(now time.Time, which table) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.noteRead(now, which)
@@ -194,14 +194,14 @@
 }
 
 // noteRead returns true when the others are to be told. The caller holds the mutex.
-func (t *turn) noteRead(now time.Time, which table) bool {
+func (t *readerRole) noteRead(now time.Time, which table) bool {
 	t.ownAt[which] = now
 	t.wanted[which] = false
 	return t.reads && !t.options.alone
 }
 
-// want makes this daemon read a table now.
-func (t *turn) want(which table) {
+// requestRead makes this daemon read a table now.
+func (t *readerRole) requestRead(which table) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.wanted[which] = true
@@ -209,14 +209,14 @@
 }
 
 // readsForAll tells whether this daemon reads for all.
-func (t *turn) readsForAll() bool {
+func (t *readerRole) readsForAll() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.reads || t.options.alone
 }
 
-// begun counts how often this daemon began to read for all.
-func (t *turn) begun() uint64 {
+// readerTerm counts how often this daemon began to read for all.
+func (t *readerRole) readerTerm() uint64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.epoch
@@ -228,26 +228,26 @@
 	task task
 	// begins is set when this daemon begins to read for all now; overdue is how long it
 	// has had no news then, and zero if it never had any.
-	begins  bool
-	overdue time.Duration
-	look    time.Duration
-	changed <-chan struct{}
+	begins     bool
+	overdue    time.Duration
+	checkAfter time.Duration
+	changed    <-chan struct{}
 }
 
-// due says whether this daemon is to read a table now, and how much.
-func (t *turn) due(now time.Time, which table) decision {
+// decide says whether this daemon is to read a table now, and how much.
+func (t *readerRole) decide(now time.Time, which table) decision {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	waiting := decision{look: longestTurnCheck, changed: t.changed}
+	waiting := decision{checkAfter: maxRoleCheck, changed: t.changed}
 	if !t.opened {
 		return waiting
 	}
 	if !t.reads && !t.options.alone {
-		left := t.patienceLeft(now)
+		left := t.newsTimeoutLeft(now)
 		if left <= 0 {
 			return t.begin(now)
 		}
-		waiting.look = min(max(left, shortestTurnCheck), longestTurnCheck)
+		waiting.checkAfter = min(max(left, minRoleCheck), maxRoleCheck)
 	}
 	switch {
 	case t.options.alone, t.reads, t.wanted[which]:
@@ -260,7 +260,7 @@
 }
 
 // begin lets this daemon read for all. The caller holds the mutex.
-func (t *turn) begin(now time.Time) decision {
+func (t *readerRole) begin(now time.Time) decision {
 	t.reads = true
 	t.epoch++
 	t.wake()
--- a/internal/directory/turn_test.go
+++ b/internal/directory/turn_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// turnWorld plays the turns of daemons in simulated time: each reads the store when it is
+// roleSimulation plays the turns of daemons in simulated time: each reads the store when it is
 // its turn and can, and tells the others in datagrams that may be lost.
-type turnWorld struct {
+type roleSimulation struct {
 	t        *rapid.T // nil in worlds that lose no datagrams
 	now      time.Time
 	interval time.Duration
-	turns    []*turn
+	roles    []*readerRole
 	// cut daemons reach no other one, refused ones not the store, frozen ones do nothing.
 	cut, refused, frozen map[int]bool
 	// loss is how many in 100 datagrams are lost, as drawn from t.
@@ -28,12 +28,12 @@
 	storeTimes []time.Duration
 }
 
-const turnStep = 20 * time.Millisecond
+const roleStep = 20 * time.Millisecond
 
-func turnAddress(index int) string { return fmt.Sprintf("10.0.0.%03d", index) }
+func daemonAddress(index int) string { return fmt.Sprintf("10.0.0.%03d", index) }
 
-func newTurnWorld(t *rapid.T, daemons int) *turnWorld {
-	world := &turnWorld{
+func newRoleSimulation(t *rapid.T, daemons int) *roleSimulation {
+	world := &roleSimulation{
 		t: t, now: time.Unix(1_000_000, 0), interval: 500 * time.Millisecond,
 		cut: map[int]bool{}, refused: map[int]bool{}, frozen: map[int]bool{},
 		nextCall: make([]time.Time, daemons), newsAt: make([]time.Time, daemons),
@@ -43,39 +43,39 @@
 		world.capacities = append(world.capacities, 1)
 	}
 	for index := range daemons {
-		made := newTurn(turnOptions{
-			self: turnAddress(index), interval: world.interval, capacity: world.capacity,
+		made := newReaderRole(readerRoleOptions{
+			self: daemonAddress(index), interval: world.interval, capacity: world.capacity,
 			storeTime: func() time.Duration { return world.storeTimes[index] },
 			others: func() []string {
 				var others []string
 				for other := range daemons {
 					if other != index {
-						others = append(others, turnAddress(other))
+						others = append(others, daemonAddress(other))
 					}
 				}
 				return others
 			},
 		})
 		made.open()
-		world.turns = append(world.turns, made)
+		world.roles = append(world.roles, made)
 		world.newsAt[index] = world.now
-		made.newsAt, made.newsFrom = world.now, turnAddress(0)
+		made.newsAt, made.newsFrom = world.now, daemonAddress(0)
 	}
 	return world
 }
 
 // capacity is the room of the machine of the daemon at an address.
-func (w *turnWorld) capacity(address string) float64 {
+func (w *roleSimulation) capacity(address string) float64 {
 	var index int
 	_, _ = fmt.Sscanf(address, "10.0.0.%d", &index) // addresses are of this form
 	return w.capacities[index]
 }
 
 // step lets all daemons do what is due.
-func (w *turnWorld) step() {
-	w.now = w.now.Add(turnStep)
-	for index, turn := range w.turns {
-		if w.frozen[index] || w.now.Before(w.nextCall[index]) || turn.due(w.now, tableDeclared).task == taskNone {
+func (w *roleSimulation) step() {
+	w.now = w.now.Add(roleStep)
+	for index, turn := range w.roles {
+		if w.frozen[index] || w.now.Before(w.nextCall[index]) || turn.decide(w.now, tableDeclared).task == taskNone {
 			continue
 		}
 		w.calls++
@@ -85,14 +85,14 @@
 			continue
 		}
 		w.newsAt[index] = w.now
-		if turn.readNews(w.now) {
+		if turn.noteOwnNews(w.now) {
 			w.tell(index)
 		}
 	}
 }
 
-func (w *turnWorld) tell(from int) {
-	for index, turn := range w.turns {
+func (w *roleSimulation) tell(from int) {
+	for index, turn := range w.roles {
 		if index == from || w.frozen[index] || w.cut[index] || w.cut[from] {
 			continue
 		}
@@ -100,22 +100,22 @@
 			continue
 		}
 		w.newsAt[index] = w.now
-		turn.heard(w.now, w.now, turnAddress(from))
+		turn.noteNewsFrom(w.now, w.now, daemonAddress(from))
 	}
 }
 
 // tellTrying tells the others that a daemon's call failed.
-func (w *turnWorld) tellTrying(from int) {
-	for index, turn := range w.turns {
+func (w *roleSimulation) tellTrying(from int) {
+	for index, turn := range w.roles {
 		if index != from && !w.frozen[index] && !w.cut[index] && !w.cut[from] {
-			turn.tried(w.now)
+			turn.noteFailedTry(w.now)
 		}
 	}
 }
 
-func (w *turnWorld) readers() int {
+func (w *roleSimulation) readers() int {
 	count := 0
-	for _, turn := range w.turns {
+	for _, turn := range w.roles {
 		if turn.readsForAll() {
 			count++
 		}
@@ -130,7 +130,7 @@
 func TestReadersAreHandedOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := rapid.IntRange(2, 12).Draw(t, "daemons")
-		world := newTurnWorld(t, daemons)
+		world := newRoleSimulation(t, daemons)
 		for index := range daemons {
 			world.capacities[index] = rapid.SampledFrom([]float64{1, 1, 9}).Draw(t, "capacity")
 			world.storeTimes[index] = rapid.SampledFrom([]time.Duration{0, 5 * time.Millisecond, 45 * time.Millisecond}).Draw(t, "store time")
@@ -169,14 +169,14 @@
 func TestLostReaderIsReplacedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons = 60
-		world := newTurnWorld(t, daemons)
+		world := newRoleSimulation(t, daemons)
 		for range 200 {
 			world.step()
 		}
 		assert.Equal(t, world.readers(), 1)
 		share := rapid.IntRange(0, 60).Draw(t, "killed in 100")
 		for index := range daemons {
-			if world.turns[index].readsForAll() || rapid.IntRange(0, 99).Draw(t, "killed") < share {
+			if world.roles[index].readsForAll() || rapid.IntRange(0, 99).Draw(t, "killed") < share {
 				world.frozen[index] = true
 			}
 		}
@@ -202,14 +202,14 @@
 func TestRefusedReaderIsReplacedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := rapid.SampledFrom([]int{7, 16, 60}).Draw(t, "daemons")
-		world := newTurnWorld(t, daemons)
+		world := newRoleSimulation(t, daemons)
 		for range 200 {
 			world.step()
 		}
 		served := 0
 		for index := range daemons {
-			world.refused[index] = world.turns[index].readsForAll() || rapid.IntRange(0, 2).Draw(t, "refused") == 0
-			if !world.refused[index] && world.turns[index].rank() >= 0 {
+			world.refused[index] = world.roles[index].readsForAll() || rapid.IntRange(0, 2).Draw(t, "refused") == 0
+			if !world.refused[index] && world.roles[index].rank() >= 0 {
 				served++
 			}
 		}
@@ -231,20 +231,20 @@
 // greater address stops.
 func TestReadersInStepResolve(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	made := newTurn(turnOptions{self: turnAddress(2), interval: time.Second})
+	made := newReaderRole(readerRoleOptions{self: daemonAddress(2), interval: time.Second})
 	made.open()
-	assert.Equal(t, made.due(now, tableDeclared).task, taskRead)
-	assert.Assert(t, made.readNews(now))
-	assert.Assert(t, !made.heard(now, now.Add(-5*time.Millisecond), turnAddress(3)))
-	assert.Assert(t, made.heard(now, now.Add(-5*time.Millisecond), turnAddress(1)))
+	assert.Equal(t, made.decide(now, tableDeclared).task, taskRead)
+	assert.Assert(t, made.noteOwnNews(now))
+	assert.Assert(t, !made.noteNewsFrom(now, now.Add(-5*time.Millisecond), daemonAddress(3)))
+	assert.Assert(t, made.noteNewsFrom(now, now.Add(-5*time.Millisecond), daemonAddress(1)))
 	assert.Assert(t, !made.readsForAll())
 }
 
-// awayWorld is a large fleet whose daemons are refused by the store but for a share of
+// newRefusedFleet is a large fleet whose daemons are refused by the store but for a share of
 // them, in thirds, since six seconds.
-func awayWorld(servedThirds int) *turnWorld {
+func newRefusedFleet(servedThirds int) *roleSimulation {
 	const daemons = 60
-	world := newTurnWorld(nil, daemons)
+	world := newRoleSimulation(nil, daemons)
 	for range 200 {
 		world.step()
 	}
@@ -266,7 +266,7 @@
 	const fleets, mostOnAverage, mostOfOne = 20, 25, 40
 	sum := 0
 	for range fleets {
-		trying := awayWorld(0).readers()
+		trying := newRefusedFleet(0).readers()
 		assert.Assert(t, trying <= mostOfOne, "%d daemons try", trying)
 		sum += trying
 	}
@@ -278,7 +278,7 @@
 func TestNewsIsBackWhereSomeAreServed(t *testing.T) {
 	for _, servedThirds := range []int{1, 2} {
 		for range 20 {
-			world := awayWorld(servedThirds)
+			world := newRefusedFleet(servedThirds)
 			for index, newsAt := range world.newsAt {
 				age := world.now.Sub(newsAt)
 				assert.Assert(t, age < 2*time.Second, "daemon %d had news %s ago", index, age)
--- a/internal/directory/update.go
+++ b/internal/directory/update.go
@@ -39,8 +39,8 @@
 	Digest uint64
 }
 
-// listNews is what is known of another daemon's list.
-type listNews struct {
+// listDelta is what is known of another daemon's list.
+type listDelta struct {
 	// whole is set where base is the list at from; the changes lead from there to a version.
 	whole    bool
 	base     []backendpool.Backend
@@ -52,31 +52,31 @@
 }
 
 // size is how many back ends were told; 0 of nil.
-func (n *listNews) size() int {
+func (n *listDelta) size() int {
 	if n == nil {
 		return 0
 	}
 	return len(n.base) + len(n.changed) + len(n.gone)
 }
 
-// newsOf reads what another daemon told of its list; nil where it told nothing.
-func newsOf(update *Update) (*listNews, error) {
+// deltaOf reads what another daemon told of its list; nil where it told nothing.
+func deltaOf(update *Update) (*listDelta, error) {
 	list := update.List
 	if list == nil {
-		return newsOfSnapshot(&update.Snapshot), nil
+		return deltaOfSnapshot(&update.Snapshot), nil
 	}
 	base, err := unpack(list.Packed)
-	return &listNews{
+	return &listDelta{
 		whole: len(list.Packed) > 0, base: base, from: list.From, to: list.To, changed: list.Changed, gone: list.Gone, digest: listDigest(list.Digest),
 	}, err
 }
 
-// newsOfSnapshot reads what a daemon of a build told that knows no updates; nil where it told nothing.
-func newsOfSnapshot(snapshot *Snapshot) *listNews {
+// deltaOfSnapshot reads what a daemon of a build told that knows no updates; nil where it told nothing.
+func deltaOfSnapshot(snapshot *Snapshot) *listDelta {
 	if !snapshot.HasBackends {
 		return nil
 	}
-	return &listNews{whole: true, base: snapshot.Backends, from: snapshot.BackendsTo, to: snapshot.BackendsTo}
+	return &listDelta{whole: true, base: snapshot.Backends, from: snapshot.BackendsTo, to: snapshot.BackendsTo}
 }
 
 // pack encodes a list in brief.
@@ -220,7 +220,7 @@
 }
 
 // adoptBackends takes in another daemon's list. Nothing that this daemon knows is replaced by something older.
-func (d *Directory) adoptBackends(news *listNews) {
+func (d *Directory) adoptBackends(news *listDelta) {
 	position := d.positions[tableBackends]
 	if news == nil || (d.listed.Load() && news.to < position.Load()) {
 		return
@@ -240,7 +240,7 @@
 
 // adoptChanges takes in what changed since the version that this daemon had when it asked. Where that doesn't lead to
 // the teller's list, the whole list is asked for.
-func (d *Directory) adoptChanges(news *listNews) {
+func (d *Directory) adoptChanges(news *listDelta) {
 	if !d.listed.Load() || news.from > d.positions[tableBackends].Load() {
 		return
 	}
--- a/internal/directory/update_test.go
+++ b/internal/directory/update_test.go
@@ -37,7 +37,7 @@
 		have := asker.have()
 		have.NeedBackendsTo = asked.positions[tableBackends].Load() // as a bulletin told
 		update := update(asked, have)
-		list, err := newsOf(&update)
+		list, err := deltaOf(&update)
 		assert.NilError(t, err)
 		told += list.size()
 		asker.apply(message{adopted: &adoption{from: "reader", asked: now, answered: now, snapshot: update.Snapshot, list: list}})
@@ -52,9 +52,9 @@
 // believe in another list by mistake: all come to believe the same as the asked one.
 func TestAskersGetTheSameList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		world := newLivesWorld(t)
+		world := newRestartSimulation(t)
 		world.reader.backends.history.begin(world.version)
-		world.reader.showBackends()
+		world.reader.publishBackendPosition()
 		askers := make([]*Directory, 3)
 		for index := range askers {
 			askers[index] = New(Options{Pool: backendpool.New("a"), Log: logging.Discard(), Self: fmt.Sprint("asker", index)})
@@ -70,13 +70,13 @@
 				}
 			default:
 				catchUpWith(t, asker, world.reader)
-				assert.DeepEqual(t, believed(asker), believed(world.reader))
+				assert.DeepEqual(t, backendsByName(asker), backendsByName(world.reader))
 				assert.Equal(t, asker.backends.digest, world.reader.backends.digest)
 			}
 		}
 		for _, asker := range askers {
 			catchUpWith(t, asker, world.reader)
-			assert.DeepEqual(t, believed(asker), believed(world.reader))
+			assert.DeepEqual(t, backendsByName(asker), backendsByName(world.reader))
 			assert.DeepEqual(t, asker.options.Pool.Backends(), world.reader.backends.all())
 		}
 	})
@@ -95,14 +95,16 @@
 	return list
 }
 
-// readerOf is a daemon that has read a list.
-func readerOf(list []backendpool.Backend) *Directory { return readerWho(list, func(Bulletin) {}) }
+// newListReader is a daemon that has read a list.
+func newListReader(list []backendpool.Backend) *Directory {
+	return newBroadcastingReader(list, func(Bulletin) {})
+}
 
-// readerWho is a daemon that has read a list, and tells what it reads.
-func readerWho(list []backendpool.Backend, tell func(Bulletin)) *Directory {
+// newBroadcastingReader is a daemon that has read a list, and tells what it reads.
+func newBroadcastingReader(list []backendpool.Backend, tell func(Bulletin)) *Directory {
 	reader := New(Options{Pool: backendpool.New("a"), Log: logging.Discard(), Self: "reader", Tell: tell})
-	reader.turn.open()
-	reader.turn.due(time.Now(), tableBackends) // it reads for all
+	reader.role.open()
+	reader.role.decide(time.Now(), tableBackends) // it reads for all
 	declared := declaration(10, 7)
 	now := time.Now()
 	reader.apply(message{table: tableDeclared, began: now, ended: now, declared: &declared})
@@ -115,7 +117,7 @@
 func TestMissedChangesCostNoWholeList(t *testing.T) {
 	for _, count := range []int{1_000, 10_000, 20_000} {
 		list := listOf(count)
-		reader := readerOf(list)
+		reader := newListReader(list)
 		asker := New(Options{Pool: backendpool.New("a"), Log: logging.Discard(), Self: "asker"})
 		assert.Equal(t, catchUpWith(t, asker, reader), count)
 		for number := range 300 {
@@ -133,7 +135,7 @@
 func TestMistakenListIsToldWholeOnce(t *testing.T) {
 	const count = 1_000
 	list := listOf(count)
-	reader := readerOf(list)
+	reader := newListReader(list)
 	asker := New(Options{Pool: backendpool.New("a"), Log: logging.Discard(), Self: "asker"})
 	assert.Equal(t, catchUpWith(t, asker, reader), count)
 	asker.backends.put(backendpool.Backend{ID: "nobody", Service: "s"})
@@ -153,7 +155,7 @@
 // of 20 Mbit a second at 20,000 back ends, and the asked one packs it once.
 func TestListsArePackedOnce(t *testing.T) {
 	const linkBytesPerSecond = 20_000_000 / 8
-	reader := readerOf(listOf(20_000))
+	reader := newListReader(listOf(20_000))
 	first := update(reader, Have{})
 	assert.Assert(t, len(first.List.Packed) < linkBytesPerSecond/3, "%d bytes", len(first.List.Packed))
 	for range 10 {
@@ -167,11 +169,11 @@
 func BenchmarkAdopt(b *testing.B) {
 	for _, count := range []int{1_000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			reader := readerOf(listOf(count))
+			reader := newListReader(listOf(count))
 			told := update(reader, Have{})
 			for b.Loop() {
 				starter := New(Options{Pool: backendpool.New("a"), Log: logging.Discard(), Self: "starter"})
-				list, err := newsOf(&told)
+				list, err := deltaOf(&told)
 				assert.NilError(b, err)
 				starter.apply(message{adopted: &adoption{from: "reader", asked: time.Now(), answered: time.Now(), snapshot: told.Snapshot, list: list}})
 			}
@@ -184,7 +186,7 @@
 	for _, count := range []int{1_000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			list := listOf(count)
-			reader := readerOf(list)
+			reader := newListReader(list)
 			version, number := uint64(1000), 0
 			for b.Loop() {
 				version, number = version+1, (number+7)%count
--- a/internal/directory/versionbound_test.go
+++ b/internal/directory/versionbound_test.go
@@ -12,23 +12,23 @@
 	"github.com/lotusward/lotusward/internal/logging"
 )
 
-// versionWorld is a reader and a daemon that hears it, over a store that names a version
+// namingSimulation is a reader and a daemon that hears it, over a store that names a version
 // between two checks. Times are of one steady clock.
-type versionWorld struct {
+type namingSimulation struct {
 	t              *rapid.T
 	began          time.Time
 	clockAtBegin   time.Duration
 	reader, hearer *Directory
 }
 
-func newVersionWorld(t *rapid.T, began time.Time) *versionWorld {
-	world := &versionWorld{t: t, began: began, clockAtBegin: 50 * time.Second}
+func newNamingSimulation(t *rapid.T, began time.Time) *namingSimulation {
+	world := &namingSimulation{t: t, began: began, clockAtBegin: 50 * time.Second}
 	world.reader, world.hearer = world.daemon(), world.daemon()
 	return world
 }
 
 // daemon is one that has read the store, where the first version is named.
-func (w *versionWorld) daemon() *Directory {
+func (w *namingSimulation) daemon() *Directory {
 	made := New(Options{Pool: backendpool.New("a"), Log: logging.Discard(), GuessedNaming: w.began.Add(-4 * time.Second)})
 	made.apply(w.reading(w.began, 1))
 	made.listed.Store(true)
@@ -36,12 +36,12 @@
 }
 
 // took is how long a call takes.
-func (w *versionWorld) took(name string) time.Duration {
+func (w *namingSimulation) took(name string) time.Duration {
 	return time.Duration(rapid.Int64Range(0, int64(300*time.Millisecond)).Draw(w.t, name))
 }
 
 // reading is a reading of what is declared that began at a time.
-func (w *versionWorld) reading(began time.Time, version uint64) message {
+func (w *namingSimulation) reading(began time.Time, version uint64) message {
 	there, back := w.took("way there"), w.took("way back")
 	declared := declaration(10, 7)
 	declared.Clock = w.clockAtBegin + began.Add(there).Sub(w.began)
@@ -50,11 +50,11 @@
 }
 
 // tell has the hearer told what the reader believes, by a bulletin or as a snapshot.
-func (w *versionWorld) tell(at time.Time) {
+func (w *namingSimulation) tell(at time.Time) {
 	known := w.reader.freshness[tableDeclared]
 	heard := at.Add(w.took("way of the bulletin"))
 	w.hearer.applyBulletin(heard, heardBulletin{from: "reader", bulletin: Bulletin{Declared: &DeclaredNews{
-		Clock: known.storeTime(w.reader.ConfirmedAt()), StoreVersion: 12, RowVersion: 10, Versions: allSeen(w.reader.State()),
+		Clock: known.storeTime(w.reader.ConfirmedAt()), StoreVersion: 12, RowVersion: 10, Versions: seenVersions(w.reader.State()),
 	}}})
 }
 
@@ -63,7 +63,7 @@
 
 // changes has the reader hear of changes of back ends in an interval after a check, in which a version
 // was named. It returns the last moment before that of which the reader knows.
-func (w *versionWorld) changes(checked time.Time, interval time.Duration, named time.Time) time.Time {
+func (w *namingSimulation) changes(checked time.Time, interval time.Duration, named time.Time) time.Time {
 	last := checked
 	at := checked
 	for number := range rapid.IntRange(0, 30).Draw(w.t, "changes") {
@@ -88,7 +88,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const grace = 9 * time.Second
 		interval := time.Duration(rapid.Int64Range(int64(700*time.Millisecond), int64(3*time.Second)).Draw(t, "interval"))
-		world := newVersionWorld(t, time.Now().Add(-10*time.Second-interval))
+		world := newNamingSimulation(t, time.Now().Add(-10*time.Second-interval))
 		checked := world.began.Add(10 * time.Second)
 		rows := world.reader.rows
 		world.reader.apply(message{table: tableDeclared, began: checked, ended: checked.Add(world.took("check")), checked: rows})
@@ -124,7 +124,7 @@
 // store's clock.
 func TestVersionOfBeforeTheStartCountsFromItsNaming(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		world := newVersionWorld(t, time.Now().Add(-time.Second))
+		world := newNamingSimulation(t, time.Now().Add(-time.Second))
 		ago := time.Duration(rapid.Int64Range(1, int64(20*time.Second)).Draw(t, "ago"))
 		world.reader.apply(message{seen: []Seen{{Model: "m", Version: 1, StoreClock: world.clockAtBegin - ago}}})
 		bound := world.reader.State().BeginBy("m", 0, time.Time{}, 0)
--- a/internal/directory/versions.go
+++ b/internal/directory/versions.go
@@ -26,28 +26,28 @@
 // that it is not known.
 const leastStoreClock = time.Nanosecond
 
-// guess is what holds of a version of which nobody tells when it was named: this daemon found it at
+// guessedNaming is what holds of a version of which nobody tells when it was named: this daemon found it at
 // its start. It counts from the start of the process, not from the reading that found it, since that is
 // from when the others judge this daemon, however long the reading took.
-func (d *Directory) guess(version uint64) relay.NamedVersion {
+func (d *Directory) guessedNaming(version uint64) relay.NamedVersion {
 	return relay.NamedVersion{Version: version, NamedAfter: d.options.GuessedNaming, Guessed: true}
 }
 
-// unnamed is what holds of a version that this daemon has just learnt to be named, unless it was
+// namedSinceConfirmed is what holds of a version that this daemon has just learnt to be named, unless it was
 // told more: at its last confirmation the version was not. A daemon without any takes a guess.
-func (d *Directory) unnamed(version uint64) relay.NamedVersion {
+func (d *Directory) namedSinceConfirmed(version uint64) relay.NamedVersion {
 	confirmed := d.ConfirmedAt()
 	if confirmed.IsZero() {
-		return d.guess(version)
+		return d.guessedNaming(version)
 	}
 	return relay.NamedVersion{
 		Version: version, NamedAfter: confirmed, StoreClock: max(d.freshness[tableDeclared].storeTime(confirmed), leastStoreClock),
 	}
 }
 
-// asTold is what holds of a version as another daemon tells it; where that one guesses too, it is what
+// namedAsReported is what holds of a version as another daemon tells it; where that one guesses too, it is what
 // this daemon would take otherwise.
-func (d *Directory) asTold(now time.Time, seen Seen, otherwise relay.NamedVersion) relay.NamedVersion {
+func (d *Directory) namedAsReported(now time.Time, seen Seen, otherwise relay.NamedVersion) relay.NamedVersion {
 	at, known := d.freshness[tableDeclared].localTime(seen.StoreClock)
 	if !known || at.After(now) { // a time to come is of another clock of the store's
 		return otherwise
@@ -63,9 +63,9 @@
 	return copied
 }
 
-// laterOf is what holds of a version where the store's clock showed a time when it was not named:
+// withLaterClock is what holds of a version where the store's clock showed a time when it was not named:
 // the checks come seldom, and answers of the feeds tell later moments.
-func (d *Directory) laterOf(found relay.NamedVersion, clock time.Duration) relay.NamedVersion {
+func (d *Directory) withLaterClock(found relay.NamedVersion, clock time.Duration) relay.NamedVersion {
 	at, known := d.freshness[tableDeclared].localTime(clock)
 	if !known || found.Guessed || !at.After(found.NamedAfter) {
 		return found
@@ -79,13 +79,13 @@
 	changed := false
 	for _, model := range slices.Sorted(maps.Keys(declared.Versions)) {
 		version := declared.Versions[model]
-		found := d.guess(version)
+		found := d.guessedNaming(version)
 		if d.started {
-			found = d.unnamed(version)
+			found = d.namedSinceConfirmed(version)
 		}
 		if d.followsNewest(model, version) {
 			row := declared.VersionRows[model]
-			found = d.laterOf(d.laterOf(found, d.moments.before(row)), d.held.before(row))
+			found = d.withLaterClock(d.withLaterClock(found, d.clockSamples.before(row)), d.held.before(row))
 		}
 		changed = d.nameVersion(now, model, found) || changed
 	}
@@ -111,8 +111,8 @@
 		return false
 	}
 	named = append(named, found)
-	d.versions[model] = named[max(len(named)-keptVersions, 0):]
-	d.mergeTold(now, model)
+	d.versions[model] = named[max(len(named)-maxRememberedVersions, 0):]
+	d.mergeReported(now, model)
 	d.options.Log.WithFields(logrus.Fields{
 		"model": model, "version": found.Version, "not_named_ms_ago": now.Sub(found.NamedAfter).Milliseconds(), "guessed": found.Guessed,
 		"since_start_ms": now.Sub(d.options.Started).Milliseconds(),
@@ -129,21 +129,21 @@
 // applySeen remembers what another daemon saw; it may come before the versions are
 // read here.
 func (d *Directory) applySeen(seen []Seen) {
-	if d.takeTold(clock.Now(), seen) {
+	if d.replaceReported(clock.Now(), seen) {
 		d.publishVersions()
 	}
 }
 
-// takeTold replaces what other daemons saw last. It returns true when that changed what
+// replaceReported replaces what other daemons saw last. It returns true when that changed what
 // is remembered of any model.
-func (d *Directory) takeTold(now time.Time, seen []Seen) bool {
-	clear(d.told)
+func (d *Directory) replaceReported(now time.Time, seen []Seen) bool {
+	clear(d.reported)
 	for _, each := range seen {
-		d.told[each.Model] = append(d.told[each.Model], each)
+		d.reported[each.Model] = append(d.reported[each.Model], each)
 	}
 	changed := false
-	for model := range d.told {
-		changed = d.mergeTold(now, model) || changed
+	for model := range d.reported {
+		changed = d.mergeReported(now, model) || changed
 	}
 	return changed
 }
@@ -154,7 +154,7 @@
 	if !slices.ContainsFunc(seen, func(each Seen) bool { return each.StoreClock > 0 && d.guesses(each) }) {
 		return false
 	}
-	return d.takeTold(now, seen)
+	return d.replaceReported(now, seen)
 }
 
 // guesses tells whether it is a guess when a version was named that another daemon saw.
@@ -164,11 +164,11 @@
 	})
 }
 
-// mergeTold adds the versions that other daemons know, up to the newest that is known here, and replaces
+// mergeReported adds the versions that other daemons know, up to the newest that is known here, and replaces
 // guesses by what they saw. All matter: what a back end with old weights may still begin depends on the
 // first version after its own, and where nobody knows when that one was named, its place is kept by a
 // guess. It returns true when anything changed.
-func (d *Directory) mergeTold(now time.Time, model identity.ModelName) bool {
+func (d *Directory) mergeReported(now time.Time, model identity.ModelName) bool {
 	clock, knows := d.freshness[tableDeclared].now(now)
 	named := d.versions[model]
 	if !knows || len(named) == 0 {
@@ -176,11 +176,11 @@
 	}
 	newest := named[len(named)-1].Version
 	changed := false
-	for _, seen := range d.told[model] {
+	for _, seen := range d.reported[model] {
 		if seen.Version > newest || seen.StoreClock > clock {
 			continue
 		}
-		found := d.asTold(now, seen, d.guess(seen.Version))
+		found := d.namedAsReported(now, seen, d.guessedNaming(seen.Version))
 		place, known := slices.BinarySearchFunc(named, seen.Version, func(each relay.NamedVersion, version uint64) int {
 			return cmp.Compare(each.Version, version)
 		})
@@ -196,7 +196,7 @@
 	if !changed {
 		return false
 	}
-	d.versions[model] = named[max(len(named)-keptVersions, 0):]
+	d.versions[model] = named[max(len(named)-maxRememberedVersions, 0):]
 	d.options.Log.WithFields(logrus.Fields{"model": model, "versions": len(named)}).Info("Another daemon told when versions were named.")
 	return true
 }
@@ -221,12 +221,12 @@
 	if state == nil {
 		return nil
 	}
-	return allSeen(state)
+	return seenVersions(state)
 }
 
-// allSeen returns the remembered versions, oldest first; where it is a guess when one was
+// seenVersions returns the remembered versions, oldest first; where it is a guess when one was
 // not named yet, its time is zero.
-func allSeen(state *relay.State) []Seen {
+func seenVersions(state *relay.State) []Seen {
 	var seen []Seen
 	for _, model := range slices.Sorted(maps.Keys(state.Versions)) {
 		for _, named := range state.Versions[model] {
--- a/internal/directory/watching.go
+++ b/internal/directory/watching.go
@@ -15,16 +15,16 @@
 	// watchPause lies between two calls, however fast changes come, and between two looks whether
 	// it is this daemon's turn.
 	watchPause = 200 * time.Millisecond
-	// promptTime is within which the store answers a held call once there is a change. While it
+	// maxAnswerTime is within which the store answers a held call once there is a change. While it
 	// takes longer it is disturbed, and the time for a named version doesn't count.
-	promptTime = 100 * time.Millisecond
-	// wayTime is within which a call reaches the store.
-	wayTime = 100 * time.Millisecond
+	maxAnswerTime = 100 * time.Millisecond
+	// maxTransitTime is within which a call reaches the store.
+	maxTransitTime = 100 * time.Millisecond
 )
 
-// held is what a call told that the store held until there was a change: the versions that came
+// heldCall is what a call told that the store heldCall until there was a change: the versions that came
 // to be after it had begun came shortly before the answer.
-type held struct {
+type heldCall struct {
 	// after and to bound the versions, the first excluded.
 	after, to uint64
 	// clock is what the store's clock showed when they had not come to be yet.
@@ -33,7 +33,7 @@
 
 // before is what the store's clock showed before a version came to be; zero where the call doesn't
 // tell.
-func (h held) before(version uint64) time.Duration {
+func (h heldCall) before(version uint64) time.Duration {
 	if version <= h.after || version > h.to {
 		return 0
 	}
@@ -44,10 +44,10 @@
 // The next check would find them too, up to an interval later.
 func (d *Directory) watchDeclared(ctx context.Context) {
 	var after uint64
-	retries := d.newRetrying()
+	retries := d.newRetryPacer()
 	for ctx.Err() == nil {
 		pause.For(ctx, watchPause)
-		if !d.turn.readsForAll() || d.state.Load() == nil {
+		if !d.role.readsForAll() || d.state.Load() == nil {
 			continue
 		}
 		after = max(after, d.positions[tableDeclared].Load())
@@ -56,30 +56,30 @@
 		told, err := d.options.Source.DeclaredChanges(bounded, after, declaredWait)
 		cancel()
 		if err != nil {
-			retries.after(ctx, err)
+			retries.pauseAfter(ctx, err)
 			continue
 		}
 		retries.succeeded()
 		if told.Changed {
-			d.post(ctx, message{began: began, told: &toldChange{after: after, change: told}})
-			d.declaredChanged.tell()
+			d.post(ctx, message{began: began, told: &heldAnswer{after: after, change: told}})
+			d.declaredChanged.notify()
 		}
 		after = max(after, told.Version)
 	}
 }
 
-// toldChange is an answer to a call for changes after a version.
-type toldChange struct {
+// heldAnswer is an answer to a call for changes after a version.
+type heldAnswer struct {
 	after  uint64
 	change DeclaredChange
 }
 
-// applyTold remembers what a held call told, if it reached the store before the change.
-func (d *Directory) applyTold(got message) {
+// applyHeldAnswer remembers what a held call told, if it reached the store before the change.
+func (d *Directory) applyHeldAnswer(got message) {
 	told := got.told.change
-	clock := told.Clock - promptTime
-	if at, known := d.freshness[tableDeclared].localTime(clock); known && at.After(got.began.Add(wayTime)) {
-		d.held = held{after: got.told.after, to: told.Version, clock: clock}
+	clock := told.Clock - maxAnswerTime
+	if at, known := d.freshness[tableDeclared].localTime(clock); known && at.After(got.began.Add(maxTransitTime)) {
+		d.held = heldCall{after: got.told.after, to: told.Version, clock: clock}
 	}
 }
 
@@ -88,7 +88,7 @@
 
 func newSignal() signal { return make(signal, 1) }
 
-func (s signal) tell() {
+func (s signal) notify() {
 	select {
 	case s <- struct{}{}:
 	default:
@@ -97,7 +97,7 @@
 
 // awaitNext waits until a table's changes are to be asked for again. It returns true where the table
 // is to be read as a whole now, since it is known to have changed.
-func (d *Directory) awaitNext(ctx context.Context, following follow) bool {
+func (d *Directory) awaitNext(ctx context.Context, following changeFeed) bool {
 	if following.changed == nil {
 		pause.For(ctx, following.pause)
 		return false
@@ -106,7 +106,7 @@
 	defer timer.Stop()
 	select {
 	case <-following.changed:
-		return d.turn.readsForAll()
+		return d.role.readsForAll()
 	case <-timer.C:
 		return false
 	case <-ctx.Done():
--- a/internal/directory/watching_test.go
+++ b/internal/directory/watching_test.go
@@ -40,7 +40,7 @@
 	directory := New(Options{Source: reading, Pool: backendpool.New("a"), Log: logging.Discard(), Interval: 3 * time.Second})
 	go func() { _ = directory.Run(t.Context()) }()
 	poll.WaitOn(t, inForce(directory, 7))
-	time.Sleep(watchPause + wayTime + promptTime + 200*time.Millisecond)
+	time.Sleep(watchPause + maxTransitTime + maxAnswerTime + 200*time.Millisecond)
 	named := time.Now()
 	source.set(func(s *memorySource) {
 		s.declared = declaration(11, 8)
@@ -50,7 +50,7 @@
 	poll.WaitOn(t, inForce(directory, 8), poll.WithTimeout(300*time.Millisecond), poll.WithDelay(2*time.Millisecond))
 	bound := directory.State().BeginBy("m", 1, time.Time{}, 0)
 	assert.Assert(t, !bound.After(named), "%s too late", bound.Sub(named))
-	assert.Assert(t, named.Sub(bound) < promptTime+50*time.Millisecond, "%s too early", named.Sub(bound))
+	assert.Assert(t, named.Sub(bound) < maxAnswerTime+50*time.Millisecond, "%s too early", named.Sub(bound))
 }
 
 // TestHeldCallsTellWhenAVersionWasNotNamed counts from a held call's answer where the call reached the
@@ -62,15 +62,15 @@
 			tenths := rapid.SampledFrom([]int{0, 1, 3, 5, 8, 9}).Draw(t, name+", tenths")
 			return most/10*time.Duration(tenths) + time.Duration(rapid.Int64Range(0, int64(most/10)).Draw(t, name))
 		}
-		world := newVersionWorld(t, time.Now().Add(-12*time.Second))
+		world := newNamingSimulation(t, time.Now().Add(-12*time.Second))
 		checked := world.began.Add(10 * time.Second)
 		world.reader.apply(message{table: tableDeclared, began: checked, ended: checked, checked: world.reader.rows})
 		named := checked.Add(1 + draw("named after the check", time.Second))
 		// The call may be sent before or after the naming; the store answers promptly.
 		sent := checked.Add(draw("sent after the check", time.Second))
-		arrived := sent.Add(draw("way", wayTime))
-		answered := later(named, arrived).Add(draw("answer", promptTime))
-		world.reader.apply(message{began: sent, told: &toldChange{after: 10, change: DeclaredChange{
+		arrived := sent.Add(draw("way", maxTransitTime))
+		answered := later(named, arrived).Add(draw("answer", maxAnswerTime))
+		world.reader.apply(message{began: sent, told: &heldAnswer{after: 10, change: DeclaredChange{
 			Reading: Reading{Version: rowOfNaming, Clock: world.clockAtBegin + answered.Sub(world.began)}, Changed: true,
 		}}})
 		read := world.reading(answered.Add(10*time.Millisecond), 2)
@@ -78,8 +78,8 @@
 		world.reader.apply(read)
 		bound := world.reader.State().BeginBy("m", 1, time.Time{}, grace)
 		assert.Assert(t, !bound.After(named.Add(grace)), "%s too late", bound.Sub(named.Add(grace)))
-		if named.Sub(sent) > 2*wayTime+promptTime+300*time.Millisecond {
-			assert.Assert(t, named.Add(grace).Sub(bound) <= promptTime+300*time.Millisecond, "%s too early", named.Add(grace).Sub(bound))
+		if named.Sub(sent) > 2*maxTransitTime+maxAnswerTime+300*time.Millisecond {
+			assert.Assert(t, named.Add(grace).Sub(bound) <= maxAnswerTime+300*time.Millisecond, "%s too early", named.Add(grace).Sub(bound))
 		}
 	})
 }
