--- a/internal/directory/asking_test.go
+++ b/internal/directory/asking_test.go
@@ -118,7 +118,7 @@
 				}
 			}()
 			time.Sleep(200 * time.Millisecond)
-			starter.contacts.reads(time.Now(), "c")
+			starter.contacts.noteReader(time.Now(), "c")
 			starter.NoteContact("heard")
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
 				if starter.Complete() {
--- a/internal/directory/beginbound_test.go
+++ b/internal/directory/beginbound_test.go
@@ -145,7 +145,7 @@
 		return
 	}
 	hearer.apply(message{adopted: &adoption{from: "teller", asked: asked, answered: w.now, snapshot: Snapshot{
-		Complete: true, ClockLeast: known.storeTime(asked), ClockMost: known.most(w.now), Confirmed: known.storeTime(confirmed),
+		Complete: true, ClockLeast: known.storeTime(asked), ClockMost: known.maxAt(w.now), Confirmed: known.storeTime(confirmed),
 		StoreVersion: 12, RowVersion: 10, Configuration: state.Table.Configuration(), Versions: seenVersions(state),
 	}}})
 }
--- a/internal/directory/bulletin.go
+++ b/internal/directory/bulletin.go
@@ -171,7 +171,7 @@
 
 // broadcastTrying announces, at most once per interval, that this daemon's calls to the store fail.
 func (d *Directory) broadcastTrying(now time.Time) {
-	if d.options.Broadcast == nil || !d.role.readsForAll() || now.Sub(d.tryingSentAt) < d.options.Interval {
+	if d.options.Broadcast == nil || !d.role.isReader() || now.Sub(d.tryingSentAt) < d.options.Interval {
 		return
 	}
 	d.tryingSentAt = now
@@ -188,7 +188,7 @@
 // rebroadcast repeats the latest changes of the list, since datagrams may be lost, and periodically announces the
 // version of the list.
 func (d *Directory) rebroadcast(now time.Time) {
-	if !d.listed.Load() || !d.role.readsForAll() || d.options.Broadcast == nil {
+	if !d.listed.Load() || !d.role.isReader() || d.options.Broadcast == nil {
 		return
 	}
 	mark := d.previousList
@@ -226,7 +226,7 @@
 	}
 	if !d.Complete() {
 		if news != nil {
-			d.contacts.reads(now, heard.from)
+			d.contacts.noteReader(now, heard.from)
 		}
 		return
 	}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -283,7 +283,7 @@
 func (d *Directory) Complete() bool { return d.state.Load() != nil && d.listed.Load() }
 
 // IsReader reports whether this daemon reads the store for all others.
-func (d *Directory) IsReader() bool { return d.role.readsForAll() }
+func (d *Directory) IsReader() bool { return d.role.isReader() }
 
 // Run reads the store, or follows the bulletins of the reader, until the context ends.
 func (d *Directory) Run(ctx context.Context) error {
--- a/internal/directory/freshness.go
+++ b/internal/directory/freshness.go
@@ -54,8 +54,8 @@
 // knowsClock reports whether the store's clock is known.
 func (f *freshness) knowsClock() bool { return !f.clockAt.IsZero() && f.clock != 0 }
 
-// most returns the highest value that the store's clock can have reached at a time; zero if the clock is unknown.
-func (f *freshness) most(at time.Time) time.Duration {
+// maxAt returns the highest value that the store's clock can have reached at a time; zero if the clock is unknown.
+func (f *freshness) maxAt(at time.Time) time.Duration {
 	if !f.knowsClock() {
 		return 0
 	}
--- a/internal/directory/joining.go
+++ b/internal/directory/joining.go
@@ -71,8 +71,8 @@
 	c.addresses = slices.Clone(c.addresses[max(len(c.addresses)-maxContacts, 0):])
 }
 
-// reads records that a daemon reads the store.
-func (c *contacts) reads(now time.Time, address string) {
+// noteReader records that a daemon reads the store.
+func (c *contacts) noteReader(now time.Time, address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.readerAt = now
--- a/internal/directory/reader.go
+++ b/internal/directory/reader.go
@@ -69,7 +69,7 @@
 		}
 		given := d.awaitTask(ctx, following.table)
 		left := clock.Until(following.until)
-		told := !d.role.readsForAll()
+		told := !d.role.isReader()
 		if given == taskReadWhole || d.outdated(following, left, told) {
 			return
 		}
--- a/internal/directory/room_test.go
+++ b/internal/directory/room_test.go
@@ -16,7 +16,7 @@
 func (w *roleSimulation) reader() int {
 	found := -1
 	for index, role := range w.roles {
-		if !role.readsForAll() || w.frozen[index] {
+		if !role.isReader() || w.frozen[index] {
 			continue
 		}
 		if found >= 0 {
@@ -27,8 +27,8 @@
 	return found
 }
 
-// play simulates some time.
-func (w *roleSimulation) play(length time.Duration) {
+// advanceTime simulates some time.
+func (w *roleSimulation) advanceTime(length time.Duration) {
 	for until := w.now.Add(length); w.now.Before(until); {
 		w.step()
 	}
@@ -42,7 +42,7 @@
 	for index := range large {
 		world.capacities[3*index] = 9
 	}
-	world.play(4 * time.Second)
+	world.advanceTime(4 * time.Second)
 	withRoom := 0
 	for range large - 2 {
 		reader := world.reader()
@@ -51,7 +51,7 @@
 			withRoom++
 		}
 		world.frozen[reader] = true
-		world.play(4 * time.Second)
+		world.advanceTime(4 * time.Second)
 	}
 	assert.Assert(t, withRoom >= large-4, "%d of %d readers have room", withRoom, large-2)
 }
@@ -65,7 +65,7 @@
 		world.roles[index].begin(world.now)
 		world.roles[index].noteOwnNews(world.now) // its calls succeed
 	}
-	world.play(2 * time.Second)
+	world.advanceTime(2 * time.Second)
 	assert.Equal(t, world.reader(), 2)
 }
 
@@ -82,7 +82,7 @@
 				world.storeTimes[index] = 5 * time.Millisecond
 			}
 		}
-		world.play(4 * time.Second)
+		world.advanceTime(4 * time.Second)
 		if reader := world.reader(); reader >= 0 && world.storeTimes[reader] < 10*time.Millisecond {
 			near++
 		}
--- a/internal/directory/snapshot.go
+++ b/internal/directory/snapshot.go
@@ -125,7 +125,7 @@
 	snapshot := Snapshot{
 		Complete:     true,
 		ClockLeast:   shown.clock.storeTime(now),
-		ClockMost:    shown.clock.most(now),
+		ClockMost:    shown.clock.maxAt(now),
 		Confirmed:    shown.clock.storeTime(confirmed),
 		StoreVersion: d.positions[tableDeclared].Load(),
 		RowVersion:   state.RowVersion,
--- a/internal/directory/softwareorders.go
+++ b/internal/directory/softwareorders.go
@@ -132,7 +132,7 @@
 		return read, 0, true
 	case port.EraOf(newest.Number) == era: // versions have not been reused since it got its number
 		return raised, 0, raised.Number > newest.Number
-	case b.copyHoldsFormer(read, newest, before, era):
+	case b.isRestoredFormer(read, newest, before, era):
 		return read, 0, false
 	case read.Number > newest.Number:
 		return read, rewrittenNumber(read, newest, port.EraOf(at) < era), true
@@ -141,9 +141,9 @@
 	}
 }
 
-// copyHoldsFormer reports whether a row holds an earlier order than the newest one, restored from a backup. A row
+// isRestoredFormer reports whether a row holds an earlier order than the newest one, restored from a backup. A row
 // written after the previous read of the same era doesn't, even if its version and target are the same.
-func (b *softwareState) copyHoldsFormer(read, newest rollout.Order, before, era uint64) bool {
+func (b *softwareState) isRestoredFormer(read, newest rollout.Order, before, era uint64) bool {
 	writtenSince := port.EraOf(before) == era && read.Number > port.VersionOf(before)
 	return !writtenSince && read.Number < port.VersionOf(newest.Number) && b.orders[read.Service].isFormer(read)
 }
--- a/internal/directory/softwarereturn_test.go
+++ b/internal/directory/softwarereturn_test.go
@@ -28,8 +28,8 @@
 	target  identity.SoftwareVersion
 }
 
-// returningStore is a store that is restored from backups.
-type returningStore struct {
+// restoredStore is a store that is restored from backups.
+type restoredStore struct {
 	softwareRows
 	era    uint64
 	copied *softwareRows
@@ -45,11 +45,11 @@
 	written  map[sameRow]bool
 }
 
-func (s *returningStore) position() uint64 { return port.PositionOf(s.era, s.version) }
+func (s *restoredStore) position() uint64 { return port.PositionOf(s.era, s.version) }
 
 // declareOrder gives an order to move to a version. The operator gives another one only after the last one was
 // read, and the same one again only after it has ended.
-func (s *returningStore) declareOrder(version int) {
+func (s *restoredStore) declareOrder(version int) {
 	target := identity.SoftwareVersion(fmt.Sprint("v", version))
 	if s.read < s.orders || (target == s.newest.Target && !s.decided[s.orders]) {
 		return
@@ -62,7 +62,7 @@
 
 // writeOrder writes the operator's newest order. Orders for the same target in rows of the same version would be
 // indistinguishable, so none are written.
-func (s *returningStore) writeOrder() {
+func (s *restoredStore) writeOrder() {
 	s.version++
 	for s.written[sameRow{s.version, s.newest.Target}] {
 		s.version++
@@ -72,8 +72,8 @@
 	s.order.Number = s.version
 }
 
-// returnToCopy restores the store from a backup. The operator's later orders are written again afterwards.
-func (s *returningStore) returnToCopy() {
+// restoreBackup restores the store from a backup. The operator's later orders are written again afterwards.
+func (s *restoredStore) restoreBackup() {
 	if s.copied == nil {
 		return
 	}
@@ -82,7 +82,7 @@
 }
 
 // reading returns what a daemon reads. Restored rows have the era in which they are read.
-func (s *returningStore) reading() *Declared {
+func (s *restoredStore) reading() *Declared {
 	s.clock += time.Second
 	declared := softwareReading(s.position(), s.clock)
 	s.read = max(s.read, s.ordered)
@@ -98,7 +98,7 @@
 }
 
 // put replaces the standing's row at a position. It returns false if another row is there.
-func (s *returningStore) put(standing rollout.Standing, over uint64) (rollout.Standing, bool) {
+func (s *restoredStore) put(standing rollout.Standing, over uint64) (rollout.Standing, bool) {
 	if over != port.PositionOf(s.era, s.standing.Row) {
 		return rollout.Standing{}, false
 	}
@@ -110,7 +110,7 @@
 }
 
 // follow makes a daemon that has just read the store write what is due. Orders end at their second stage.
-func (s *returningStore) follow(t *rapid.T, follower *Directory) {
+func (s *restoredStore) follow(t *rapid.T, follower *Directory) {
 	known := follower.State().Software["s"]
 	next := known.Standing
 	switch {
@@ -140,7 +140,7 @@
 // again, and the store agrees with the daemons in the end.
 func TestOrdersEndOnceOverReturnsOfTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := &returningStore{era: rapid.Uint64Range(0, 1).Draw(t, "era"), decided: map[int]bool{}, byTarget: map[identity.SoftwareVersion]int{}, written: map[sameRow]bool{}}
+		store := &restoredStore{era: rapid.Uint64Range(0, 1).Draw(t, "era"), decided: map[int]bool{}, byTarget: map[identity.SoftwareVersion]int{}, written: map[sameRow]bool{}}
 		store.version = 10
 		var daemons []*Directory
 		now := time.Now()
@@ -173,7 +173,7 @@
 				copied := store.softwareRows
 				store.copied = &copied
 			case 2:
-				store.returnToCopy()
+				store.restoreBackup()
 			case 3:
 				if store.ordered != store.orders {
 					store.writeOrder()
--- a/internal/directory/turn.go
+++ b/internal/directory/turn.go
@@ -205,8 +205,8 @@
 	t.wake()
 }
 
-// readsForAll reports whether this daemon is the reader.
-func (t *readerRole) readsForAll() bool {
+// isReader reports whether this daemon is the reader.
+func (t *readerRole) isReader() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.reads || t.options.alone
--- a/internal/directory/turn_test.go
+++ b/internal/directory/turn_test.go
@@ -116,7 +116,7 @@
 func (w *roleSimulation) readers() int {
 	count := 0
 	for _, role := range w.roles {
-		if role.readsForAll() {
+		if role.isReader() {
 			count++
 		}
 	}
@@ -175,7 +175,7 @@
 		assert.Equal(t, world.readers(), 1)
 		share := rapid.IntRange(0, 60).Draw(t, "killed in 100")
 		for index := range daemons {
-			if world.roles[index].readsForAll() || rapid.IntRange(0, 99).Draw(t, "killed") < share {
+			if world.roles[index].isReader() || rapid.IntRange(0, 99).Draw(t, "killed") < share {
 				world.frozen[index] = true
 			}
 		}
@@ -207,7 +207,7 @@
 		}
 		served := 0
 		for index := range daemons {
-			world.refused[index] = world.roles[index].readsForAll() || rapid.IntRange(0, 2).Draw(t, "refused") == 0
+			world.refused[index] = world.roles[index].isReader() || rapid.IntRange(0, 2).Draw(t, "refused") == 0
 			if !world.refused[index] && world.roles[index].rank() >= 0 {
 				served++
 			}
@@ -236,7 +236,7 @@
 	assert.Assert(t, made.noteOwnNews(now))
 	assert.Assert(t, !made.noteNewsFrom(now, now.Add(-5*time.Millisecond), daemonAddress(3)))
 	assert.Assert(t, made.noteNewsFrom(now, now.Add(-5*time.Millisecond), daemonAddress(1)))
-	assert.Assert(t, !made.readsForAll())
+	assert.Assert(t, !made.isReader())
 }
 
 // newRefusedFleet returns a large fleet whose daemons have been rejected by the store for six seconds, apart from a
--- a/internal/directory/watching.go
+++ b/internal/directory/watching.go
@@ -46,7 +46,7 @@
 	retries := d.newRetryPacer()
 	for ctx.Err() == nil {
 		pause.For(ctx, watchPause)
-		if !d.role.readsForAll() || d.state.Load() == nil {
+		if !d.role.isReader() || d.state.Load() == nil {
 			continue
 		}
 		after = max(after, d.positions[tableDeclared].Load())
@@ -105,7 +105,7 @@
 	defer timer.Stop()
 	select {
 	case <-following.changed:
-		return d.role.readsForAll()
+		return d.role.isReader()
 	case <-timer.C:
 		return false
 	case <-ctx.Done():
