--- a/internal/directory/asking.go
+++ b/internal/directory/asking.go
@@ -71,7 +71,7 @@
 		}
 		lacking := d.missing.Load()
 		if err := d.askCandidates(ctx, lacking); err != nil && d.Complete() && lacking.table != "" {
-			d.options.Log.WithError(err).WithField("table", lacking.table).Info("No other daemon provides the missing data; the store is read for it.")
+			d.options.Log.WithError(err).WithField("table", lacking.table).Info("No daemon tells what this one lacks, which reads the store for it.")
 			d.role.requestRead(lacking.table)
 		}
 		pause.For(ctx, askPause)
--- a/internal/directory/declared.go
+++ b/internal/directory/declared.go
@@ -29,7 +29,7 @@
 	declared := got.declared
 	if !d.freshness[tableDeclared].admit(got.began, got.ended, declared.Reading) {
 		d.options.Log.WithFields(logrus.Fields{"store_version": declared.Version, "known_to": d.positions[tableDeclared].Load()}).
-			Warn("An outdated read of the operators' rows is ignored.")
+			Warn("An outdated reading is passed over.")
 		return
 	}
 	d.malformed.noteAll(tableDeclared, declared.Malformed)
--- a/internal/directory/joining.go
+++ b/internal/directory/joining.go
@@ -141,7 +141,7 @@
 		}
 		left := clock.Until(d.joinDeadline(began, delay))
 		if left <= 0 {
-			d.options.Log.Info("No other daemon has provided its data in time.")
+			d.options.Log.Info("No daemon tells what it believes.")
 			return
 		}
 		pause.For(ctx, min(left, askPause))
@@ -182,7 +182,7 @@
 	drawn = drawn[:min(maxConcurrentAsks, len(drawn))]
 	err := d.askAny(ctx, drawn)
 	if err != nil && len(drawn) > 0 && round&(round-1) == 0 { // logged at rounds 1, 2, 4, 8, ...
-		d.options.Log.WithError(err).WithFields(logrus.Fields{"asked": drawn, "round": round}).Info("None of the asked daemons provided its data.")
+		d.options.Log.WithError(err).WithFields(logrus.Fields{"asked": drawn, "round": round}).Info("Other daemons were asked in vain.")
 	}
 	return len(drawn)
 }
--- a/internal/directory/snapshot.go
+++ b/internal/directory/snapshot.go
@@ -189,7 +189,7 @@
 	d.options.Log.WithFields(logrus.Fields{
 		"from": got.from, "store_version": snapshot.StoreVersion, "back_ends": list.size(),
 		"daemons": len(snapshot.Members), "configuration_age_ms": clock.Since(d.ConfirmedAt()).Milliseconds(),
-	}).Info("Another daemon's data was adopted.")
+	}).Info("Another daemon's belief was taken in.")
 }
 
 // adoptDeclared applies the configuration and the versions of weights.
--- a/internal/rollout/choice.go
+++ b/internal/rollout/choice.go
@@ -112,7 +112,7 @@
 	if first := shared.noteSent(choice); first {
 		c.options.Log.WithFields(logrus.Fields{
 			"service": choice.Service, "version": choice.Version, "order": choice.Order, "route": choice.Route, "back_ends": len(choice.Backends),
-		}).Info("Sent the first request of this daemon to the version under trial.")
+		}).Info("A version under trial gets its first request from this daemon.")
 	}
 }
 
--- a/internal/rollout/driver.go
+++ b/internal/rollout/driver.go
@@ -100,7 +100,7 @@
 	c.options.Log.WithFields(logrus.Fields{
 		"service": state.Standing.Service, "order": state.Standing.Order, "stage": state.Standing.Stage, "reason": reason,
 		"daemons": counted.daemons, "heard": counted.heard, "acknowledged": counted.acknowledged, "silent": counted.silent, "missing": counted.missing,
-	}).Info("The wait reason of an order changed.")
+	}).Info("What an order waits for has changed.")
 }
 
 // pausing reports whether to write nothing yet, because a call has just failed, or because this daemon hasn't
@@ -196,7 +196,7 @@
 		driver.writing = false
 		switch {
 		case err == nil && written.Order == next.Order && written.Stage == next.Stage:
-			log.WithField("row", written.Row).Info("Wrote a new stage of a roll-out.")
+			log.WithField("row", written.Row).Info("A new stage of a service's versions was written.")
 		case err == nil:
 			log.WithField("row", written.Row).Info("Stage not written: another daemon has already written one.")
 		case !driver.failing:
--- a/internal/rollout/reporter.go
+++ b/internal/rollout/reporter.go
@@ -252,8 +252,8 @@
 	reporter.granted = granted
 	log := c.options.Log.WithFields(logrus.Fields{"service": service, "order": reporter.order, "collectors": len(collectors), "until_ms": until.Sub(now).Milliseconds()})
 	if granted {
-		log.Info("A majority of the collectors grants requests to the version under trial.")
+		log.Info("Enough daemons grant requests to the version under trial.")
 		return
 	}
-	log.Warn("No majority of the collectors grants requests to the version under trial; it gets none.")
+	log.Warn("Too few daemons grant requests to the version under trial. It gets none.")
 }
