--- a/internal/directory/software.go
+++ b/internal/directory/software.go
@@ -180,7 +180,7 @@
 		log.Info("The versions of a service's software are decided.")
 	}
 	if after.lost() && !before.lost() {
-		log.Warn("The store has lost the decision on a service's versions; it is written again.")
+		log.Warn("The store has lost what was decided of a service's versions. It is written again.")
 	}
 }
 
--- a/internal/rollout/driver.go
+++ b/internal/rollout/driver.go
@@ -200,7 +200,7 @@
 		case err == nil:
 			log.WithField("row", written.Row).Info("Stage not written: another daemon has already written one.")
 		case !driver.failing:
-			log.WithError(err).Warn("Writing a stage failed; it will be retried.")
+			log.WithError(err).Warn("A stage can't be written. It is tried again.")
 		}
 		driver.failing = err != nil
 		driver.pausedUntil, driver.writtenRow = now.Add(writePause), written.Row
--- a/internal/rollout/stop.go
+++ b/internal/rollout/stop.go
@@ -36,7 +36,7 @@
 	if found := c.collectors[service]; found != nil && found.order == order {
 		log = log.WithFields(logrus.Fields{"answers": found.verdict.Answers, "bad_answers": found.verdict.BadAnswers, "daemons": len(found.daemons)})
 	}
-	log.Warn("The target of an order is bad; it gets no more requests.")
+	log.Warn("A version is bad. It gets no requests any more.")
 	if source == c.self {
 		c.options.Broadcast(peerlink.KindVersionStop, &stopMessage{Service: service, Order: order, Reason: reason})
 	}
