--- a/cmd/internal/daemon/wire.go
+++ b/cmd/internal/daemon/wire.go
@@ -238,23 +238,23 @@
 func (w *Daemon) wireLoads() {
 	w.homes = loadhome.New(loadhome.Options{
 		Link: w.link, Others: w.members.Others, Pool: w.backends, Memory: w.memory, Presence: w.presence,
-		Zone: w.members.Zone, Own: w.settings.Zone, Distances: w.regions, Log: w.part("loads"),
+		Zone: w.members.Zone, OwnZone: w.settings.Zone, Distances: w.regions, Log: w.part("loads"),
 	})
 	w.backends.OnListChanged(func(changed []backendpool.Backend, gone []identity.BackendID) {
 		w.cacheTargets.Listed(changed, gone)
-		w.homes.Listed()
+		w.homes.NotifyBackendsListed()
 	})
 	w.loads = loadshare.New(loadshare.Options{
-		Link: w.link, Others: w.members.Others, Pool: w.backends, Memory: w.memory, TellHomes: w.homes.NoteParts,
+		Link: w.link, Others: w.members.Others, Pool: w.backends, Memory: w.memory, PublishParts: w.homes.PublishParts,
 	})
 	w.rooms = roomshare.New(roomshare.Options{
-		Link: w.link, Others: w.members.Others, Zone: w.members.Zone, Capacity: w.members.Capacity, Own: w.settings.Zone,
+		Link: w.link, Others: w.members.Others, Zone: w.members.Zone, Capacity: w.members.Capacity, OwnZone: w.settings.Zone,
 		Distances: w.regions, Pool: w.backends, Refresh: w.refreshLoads,
 	})
 	w.limits = sharedlimit.New(sharedlimit.Options{
 		Link: w.link, Topology: w.topology, Count: w.members.Count, Presence: w.presence,
 		Margin: limitMarginShare * w.settings.Bounds.QuotaSlack, Log: w.part("limits"),
-		BackendHomes: w.homes.LimitHomes, BackendLimit: backendlimit.Newest(w.backends.RequestLimit),
+		BackendHomes: w.homes.LimitHomes, BackendLimit: backendlimit.NewestLimit(w.backends.RequestLimit),
 	})
 	w.prober = prober.New(prober.Options{Pool: w.backends, Reach: w.runners.Reach, Log: w.part("probe")})
 }
--- a/internal/backendlimit/backendlimit.go
+++ b/internal/backendlimit/backendlimit.go
@@ -35,29 +35,29 @@
 	ownPartWait = 500 * time.Millisecond
 )
 
-// Limiter grants parts of limits that hold for all daemons together.
-type Limiter interface {
+// SharedLimiter grants parts of limits that hold for all daemons together.
+type SharedLimiter interface {
 	// Take asks for a cost of an owner's limit.
 	Take(ctx context.Context, owner quota.Owner, limit quota.Limit, cost float64) sharedlimit.Grant
 	// Return gives back what was granted for a request that was not sent.
 	Return(grant sharedlimit.Grant)
 }
 
-// Keeper asks for parts of back ends' limits. It is safe for use by several goroutines.
-type Keeper struct {
-	limiter Limiter
+// Enforcer asks for parts of back ends' limits. It is safe for use by several goroutines.
+type Enforcer struct {
+	limiter SharedLimiter
 	daemons func() int
 	decided func(grant sharedlimit.Grant)
 }
 
-// New makes a Keeper. Daemons returns how many daemons there may be, and decided is told of each decision; it must not block.
-func New(limiter Limiter, daemons func() int, decided func(grant sharedlimit.Grant)) *Keeper {
-	return &Keeper{limiter: limiter, daemons: daemons, decided: decided}
+// New makes an Enforcer. Daemons returns how many daemons there may be, and decided is told of each decision; it must not block.
+func New(limiter SharedLimiter, daemons func() int, decided func(grant sharedlimit.Grant)) *Enforcer {
+	return &Enforcer{limiter: limiter, daemons: daemons, decided: decided}
 }
 
 // Take asks for a part of the limit of a ticket's back end. It returns false where there is no room: the back end gets no
 // requests for a moment then. The grant is nil where the back end has no limit.
-func (k *Keeper) Take(ctx context.Context, ticket *backendpool.Ticket) (*sharedlimit.Grant, bool) {
+func (k *Enforcer) Take(ctx context.Context, ticket *backendpool.Ticket) (*sharedlimit.Grant, bool) {
 	limit := ticket.Limit
 	if !limit.InForce {
 		return nil, true
@@ -74,7 +74,7 @@
 		return &grant, true
 	}
 	roomAt := now.Add(grant.Wait)
-	if grant.Own {
+	if grant.LocalShare {
 		roomAt = now.Add(min(grant.Wait, ownPartWait))
 	}
 	spread := time.Duration(rand.Float64() * float64(k.daemons()) * float64(askSpacing))
@@ -83,7 +83,7 @@
 }
 
 // Return gives back what was granted for a request that was not sent; nil is nothing.
-func (k *Keeper) Return(grant *sharedlimit.Grant) {
+func (k *Enforcer) Return(grant *sharedlimit.Grant) {
 	if grant != nil {
 		k.limiter.Return(*grant)
 	}
@@ -96,9 +96,9 @@
 	return quota.Limit{Version: limit.Version, RatePerSecond: rate * requestCost, Burst: burst * requestCost}
 }
 
-// Newest returns a function that tells the newer of a back end's limit that was asked for and what a pool knows; false
+// NewestLimit returns a function that tells the newer of a back end's limit that was asked for and what a pool knows; false
 // where the back end has none any more.
-func Newest(known func(id identity.BackendID) backendpool.RequestLimit) func(identity.BackendID, quota.Limit) (quota.Limit, bool) {
+func NewestLimit(known func(id identity.BackendID) backendpool.RequestLimit) func(identity.BackendID, quota.Limit) (quota.Limit, bool) {
 	return func(id identity.BackendID, asked quota.Limit) (quota.Limit, bool) {
 		limit := known(id)
 		if limit.Version <= asked.Version {
--- a/internal/loadhome/limits.go
+++ b/internal/loadhome/limits.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// Listed notes that back ends were listed. A daemon that starts asks others then for the limits in force.
-func (h *Homes) Listed() {
+// NotifyBackendsListed notes that back ends were listed. A daemon that starts asks others then for the limits in force.
+func (h *Homes) NotifyBackendsListed() {
 	select {
 	case h.listed <- struct{}{}:
 	default:
--- a/internal/loadhome/limits_test.go
+++ b/internal/loadhome/limits_test.go
@@ -50,7 +50,7 @@
 		fleet.daemons[0].hears(1, 0.5)
 		time.Sleep(50 * time.Millisecond)
 		fleet.daemons[0].restart()
-		fleet.daemons[0].homes.Listed()
+		fleet.daemons[0].homes.NotifyBackendsListed()
 		time.Sleep(50 * time.Millisecond)
 		assert.Equal(t, fleet.daemons[0].pool.RequestLimit(backendID(1)).PerSecond, 0.5)
 	})
--- a/internal/loadhome/loadhome.go
+++ b/internal/loadhome/loadhome.go
@@ -46,8 +46,8 @@
 	Presence *presence.List
 	// Zone returns the zone of a daemon, by its address; empty is unknown. Nil knows none.
 	Zone func(address string) identity.Zone
-	// Own is this daemon's zone.
-	Own identity.Zone
+	// OwnZone is this daemon's zone.
+	OwnZone identity.Zone
 	// Distances tells the regions of zones.
 	Distances distance.Map
 	Log       logrus.FieldLogger
@@ -100,10 +100,10 @@
 }
 
 // Needed tells whether there are too many daemons to tell all of all loads.
-func (h *Homes) Needed() bool { return len(h.options.Others()) > loadshare.MaximumTargets }
+func (h *Homes) Needed() bool { return len(h.options.Others()) > loadshare.MaxLoadPeers }
 
-// TellsHomes tells whether there are too many daemons to tell all where parts of prompts are: their homes are told then.
-func (h *Homes) TellsHomes() bool { return len(h.options.Others()) > loadshare.MaximumTold }
+// PartsEnabled tells whether there are too many daemons to tell all where parts of prompts are: their homes are told then.
+func (h *Homes) PartsEnabled() bool { return len(h.options.Others()) > loadshare.MaxPartPeers }
 
 // Run notes loads as they change until the context ends.
 func (h *Homes) Run(ctx context.Context) error {
@@ -125,7 +125,7 @@
 			if listed {
 				h.askLimits()
 			}
-			h.noteAll(h.options.Pool.Loads(loadshare.MaximumLoads))
+			h.noteAll(h.options.Pool.Loads(loadshare.MaxLoads))
 			h.ledger.prune()
 		}
 	}
--- a/internal/loadhome/parts.go
+++ b/internal/loadhome/parts.go
@@ -42,9 +42,9 @@
 	Read, Reading []uint64
 }
 
-// NoteParts tells homes of parts where these are. It is for fleets in which telling all daemons is too much: what a
+// PublishParts tells homes of parts where these are. It is for fleets in which telling all daemons is too much: what a
 // daemon tells goes by its own requests, and what it hears by the fleet's requests over the daemons.
-func (h *Homes) NoteParts(facts []promptcache.Fact) {
+func (h *Homes) PublishParts(facts []promptcache.Fact) {
 	byHome := map[string][]partFact{}
 	for _, fact := range facts {
 		for _, home := range h.partHomes(fact.Part) {
@@ -80,7 +80,7 @@
 // RefreshParts asks the homes of parts where these are, and remembers it. It goes on with what is known where answers
 // take longer than they mostly do.
 func (h *Homes) RefreshParts(ctx context.Context, parts []promptcache.Key) {
-	if !h.TellsHomes() {
+	if !h.PartsEnabled() {
 		return
 	}
 	now := clock.Now()
--- a/internal/loadhome/parts_test.go
+++ b/internal/loadhome/parts_test.go
@@ -16,7 +16,7 @@
 // TestPartsAreFoundAtTheirHomes has each daemon of a large fleet send some parts to back ends: whoever asks for one learns
 // where it is, and what each daemon sends and hears goes by its own parts alone, not by the fleet.
 func TestPartsAreFoundAtTheirHomes(t *testing.T) {
-	for _, count := range []int{loadshare.MaximumTold + 10, 300} {
+	for _, count := range []int{loadshare.MaxPartPeers + 10, 300} {
 		synctest.Test(t, func(t *testing.T) {
 			sent := 0
 			fleet := newFleet(1, count)
@@ -29,7 +29,7 @@
 			for number, daemon := range fleet.daemons {
 				for part := range each {
 					daemon.homes.options.Memory.HasRead(time.Now(), fact(number, part))
-					daemon.homes.NoteParts([]promptcache.Fact{fact(number, part)})
+					daemon.homes.PublishParts([]promptcache.Fact{fact(number, part)})
 				}
 			}
 			time.Sleep(50 * time.Millisecond)
--- a/internal/loadhome/regions.go
+++ b/internal/loadhome/regions.go
@@ -12,7 +12,7 @@
 func (h *Homes) zone(address string) identity.Zone {
 	switch {
 	case address == h.self:
-		return h.options.Own
+		return h.options.OwnZone
 	case h.options.Zone == nil:
 		return ""
 	default:
@@ -42,12 +42,12 @@
 // isOwnZone tells whether a daemon is surely in this one's zone, so that its answers tell nothing of the way between
 // zones.
 func (h *Homes) isOwnZone(address string) bool {
-	return h.options.Own != "" && h.zone(address) == h.options.Own
+	return h.options.OwnZone != "" && h.zone(address) == h.options.OwnZone
 }
 
 // isFar tells whether a daemon is in another region.
 func (h *Homes) isFar(address string) bool {
-	return h.options.Distances.Between(h.options.Own, h.zone(address)) == distance.OtherRegion
+	return h.options.Distances.Between(h.options.OwnZone, h.zone(address)) == distance.OtherRegion
 }
 
 // timeout is how long the answers of homes are waited for.
--- a/internal/loadhome/regions_test.go
+++ b/internal/loadhome/regions_test.go
@@ -75,7 +75,7 @@
 	pool.Update(s.list)
 	return New(Options{
 		Link: wayCarrier{Node: network.Add(self), spread: s}, Others: func() []string { return others }, Pool: pool, Presence: presence.New(),
-		Zone: func(address string) identity.Zone { return s.zones[address] }, Own: s.zones[self], Distances: s.distances,
+		Zone: func(address string) identity.Zone { return s.zones[address] }, OwnZone: s.zones[self], Distances: s.distances,
 	})
 }
 
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -28,13 +28,13 @@
 	idleInterval = 400 * time.Millisecond
 	// forgetAfter is how long what a daemon told counts.
 	forgetAfter = time.Second
-	// MaximumTargets is how many other daemons there may be for all to tell all of loads.
+	// MaxLoadPeers is how many other daemons there may be for all to tell all of loads.
 	// Among more, where large parts of prompts are is still told to all, since it is told
 	// once.
-	MaximumTargets = 12
-	// MaximumTold is how many other daemons there may be for all to tell all where large parts of prompts are. Among more,
+	MaxLoadPeers = 12
+	// MaxPartPeers is how many other daemons there may be for all to tell all where large parts of prompts are. Among more,
 	// the facts of a few requests a second fill the bound on bytes; homes of the parts are told then.
-	MaximumTold = 128
+	MaxPartPeers = 128
 	// aliveTargets is how many of many daemons hear in each turn that this one is there.
 	aliveTargets = 4
 	// bytesPerSecond bounds what is sent. Where it isn't enough for all targets of a
@@ -43,8 +43,8 @@
 	bytesPerSecond = 36 << 10
 	burstBytes     = 48 << 10
 	factShare      = 0.7
-	// MaximumLoads bounds the back ends of which loads are told at a time.
-	MaximumLoads = 256
+	// MaxLoads bounds the back ends of which loads are told at a time.
+	MaxLoads = 256
 	// gatherTime is for how long large parts are gathered where there are many daemons: a
 	// datagram's frame and name are as long as some facts.
 	gatherTime = 300 * time.Millisecond
@@ -116,8 +116,8 @@
 	Others func() []string
 	Pool   *backendpool.Pool
 	Memory *promptcache.Memory
-	// TellHomes tells homes of parts of prompts where these are, among more than MaximumTold others; nil tells all.
-	TellHomes func(facts []promptcache.Fact)
+	// PublishParts tells homes of parts of prompts where these are, among more than MaxPartPeers others; nil tells all.
+	PublishParts func(facts []promptcache.Fact)
 }
 
 // Sharer tells and hears loads.
@@ -161,18 +161,18 @@
 
 // share takes in what was heard, and tells what this daemon has under way if that changed.
 func (s *Sharer) share(now time.Time) {
-	if len(s.options.Others()) > MaximumTargets {
+	if len(s.options.Others()) > MaxLoadPeers {
 		s.shareAmongMany(now)
 		return
 	}
 	s.options.Pool.SetOthersLoad(s.merge(now), true)
-	loads := s.options.Pool.Loads(MaximumLoads)
+	loads := s.options.Pool.Loads(MaxLoads)
 	facts, doubts := s.options.Memory.Untold(), s.options.Pool.TakeFailureReports()
 	if len(facts)+len(doubts) == 0 && slices.Equal(loads, s.told) && now.Sub(s.toldAt) < idleInterval {
 		return
 	}
 	s.told, s.toldAt = loads, now
-	s.send(s.limiter, peerlink.KindLoads, newMessage(loads, facts, doubts), MaximumTargets)
+	s.send(s.limiter, peerlink.KindLoads, newMessage(loads, facts, doubts), MaxLoadPeers)
 }
 
 // shareAmongMany tells of parts and doubts alone; package loadhome is for the loads then. A
@@ -180,8 +180,8 @@
 func (s *Sharer) shareAmongMany(now time.Time) {
 	large, few := split(s.options.Memory.Untold())
 	doubts := s.options.Pool.TakeFailureReports()
-	if len(s.options.Others()) > MaximumTold && s.options.TellHomes != nil {
-		s.options.TellHomes(large)
+	if len(s.options.Others()) > MaxPartPeers && s.options.PublishParts != nil {
+		s.options.PublishParts(large)
 		large, doubts = nil, nil // homes of the back ends keep what is found out of them
 	}
 	s.tellAll(now, large, doubts)
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -79,7 +79,7 @@
 
 // TestHeardLoadsAddUp adds up what daemons told last, and forgets those that fell silent.
 func TestHeardLoadsAddUp(t *testing.T) {
-	others := make([]string, MaximumTargets)
+	others := make([]string, MaxLoadPeers)
 	sharer := New(Options{Link: peerlink.New("127.0.0.1:1", logging.Discard()), Others: func() []string { return others }})
 	now := time.Now()
 	for _, name := range []string{"a", "b"} {
--- a/internal/relay/regions.go
+++ b/internal/relay/regions.go
@@ -16,7 +16,7 @@
 type Rooms interface {
 	// Rooms returns the rooms that a service has in other regions, of those within reach. It
 	// may ask other daemons.
-	Rooms(ctx context.Context, service identity.ServiceName) []roomshare.RoomReport
+	Rooms(ctx context.Context, service identity.ServiceName) []roomshare.CapacityReport
 }
 
 // tryRegions takes a place at a back end of the region where it costs least. Where that can
@@ -144,7 +144,7 @@
 		region := &regions[index]
 		for _, room := range told {
 			if room.Region == region.Region && !region.Own {
-				region.RegionCapacity, region.Known, region.ToldAt, region.Outside = room.RegionCapacity, true, room.At, room.Outside
+				region.RegionCapacity, region.Known, region.ToldAt, region.Outside = room.RegionCapacity, true, room.At, room.DaemonsOutside
 				region.Free = room.Free(query.Limits, query.SharedTokens+query.OwnTokens)
 			}
 		}
@@ -154,14 +154,14 @@
 
 // toldRooms are the rooms of other regions: as those told them or, where each daemon knows all
 // loads, as this one sums them up.
-func (r *run) toldRooms(ctx context.Context, query backendpool.Query) []roomshare.RoomReport {
+func (r *run) toldRooms(ctx context.Context, query backendpool.Query) []roomshare.CapacityReport {
 	options := r.relay.options
 	if options.Rooms != nil && options.Loads != nil && options.Loads.Needed() {
 		return options.Rooms.Rooms(ctx, query.Service)
 	}
-	var told []roomshare.RoomReport
+	var told []roomshare.CapacityReport
 	for _, room := range options.Pool.RegionCapacities(r.now(), query.Service) {
-		told = append(told, roomshare.RoomReport{RegionCapacity: room, At: r.now(), Outside: options.Daemons()})
+		told = append(told, roomshare.CapacityReport{RegionCapacity: room, At: r.now(), DaemonsOutside: options.Daemons()})
 	}
 	return told
 }
--- a/internal/relay/regions_test.go
+++ b/internal/relay/regions_test.go
@@ -20,19 +20,19 @@
 // toldRooms tells rooms as a test says, and that loads have to be asked for.
 type toldRooms struct {
 	mutex sync.Mutex
-	told  []roomshare.RoomReport
+	told  []roomshare.CapacityReport
 	asked int
 }
 
 // tell changes what is told from now on.
-func (f *toldRooms) tell(told ...roomshare.RoomReport) {
+func (f *toldRooms) tell(told ...roomshare.CapacityReport) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.told = told
 }
 
 // Rooms implements Rooms.
-func (f *toldRooms) Rooms(context.Context, identity.ServiceName) []roomshare.RoomReport {
+func (f *toldRooms) Rooms(context.Context, identity.ServiceName) []roomshare.CapacityReport {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.asked++
@@ -76,8 +76,8 @@
 	w.pool.SetOthersLoad(loads, false)
 }
 
-func told(region identity.Region, free float64) roomshare.RoomReport {
-	return roomshare.RoomReport{RegionCapacity: backendpool.RegionCapacity{Region: region, Backends: free, Slots: free}, At: time.Now(), Outside: 1}
+func told(region identity.Region, free float64) roomshare.CapacityReport {
+	return roomshare.CapacityReport{RegionCapacity: backendpool.RegionCapacity{Region: region, Backends: free, Slots: free}, At: time.Now(), DaemonsOutside: 1}
 }
 
 var streamingRoute = routing.Route{Kind: routing.KindStreaming, MaxAttempts: 1, TargetLatency: 300 * time.Millisecond}
@@ -104,14 +104,14 @@
 func TestRequestLeavesAFullRegionForRoom(t *testing.T) {
 	world, rooms := newRegions(streamingRoute, "a", "b", "c")
 	world.fillFirst(1)
-	rooms.told = []roomshare.RoomReport{told("region-b", 0), told("region-c", 4)}
+	rooms.told = []roomshare.CapacityReport{told("region-b", 0), told("region-c", 4)}
 	assert.Equal(t, world.ask(longPrompt).body.String(), eventsText(1, 3))
 	assert.Equal(t, world.sentTo(), identity.BackendID("b2"))
 }
 
 // TestRequestDoesNotLeaveWithoutRoom waits at home while no region tells room, or none does.
 func TestRequestDoesNotLeaveWithoutRoom(t *testing.T) {
-	for _, heard := range [][]roomshare.RoomReport{nil, {told("region-b", 0)}} {
+	for _, heard := range [][]roomshare.CapacityReport{nil, {told("region-b", 0)}} {
 		world, rooms := newRegions(streamingRoute, "a", "b")
 		world.fillFirst(1)
 		rooms.told = heard
@@ -126,8 +126,8 @@
 	world, rooms := newRegions(streamingRoute, "a", "b")
 	world.fillFirst(1)
 	room := told("region-b", 5)
-	room.Outside = 5
-	rooms.told = []roomshare.RoomReport{room}
+	room.DaemonsOutside = 5
+	rooms.told = []roomshare.CapacityReport{room}
 	served := 0
 	for range 3 {
 		if world.ask(longPrompt).refusal == nil {
@@ -155,7 +155,7 @@
 func TestRequestGoesWhereItsPartsAre(t *testing.T) {
 	for tokens, expected := range map[int]identity.BackendID{9000: "b1", 300: "b0"} {
 		world, rooms := newRegions(streamingRoute, "a", "b")
-		rooms.told = []roomshare.RoomReport{told("region-b", 4)}
+		rooms.told = []roomshare.CapacityReport{told("region-b", 4)}
 		key := promptcache.KeyOf(cacheSalt(1, nil), "a")
 		world.relay.options.Memory.Holds(time.Now(), promptcache.Fact{Part: key, Backend: rendezvous.Key("b1"), Tokens: tokens})
 		caller := world.ask(func(request *Request) {
@@ -195,7 +195,7 @@
 // TestRequestWithoutBackEndAtHomeWaitsWhereOneIs has no back end at home that may get requests, and
 // full ones elsewhere: the request is refused as busy, whether room is told or not.
 func TestRequestWithoutBackEndAtHomeWaitsWhereOneIs(t *testing.T) {
-	for _, heard := range [][]roomshare.RoomReport{nil, {told("region-b", 0)}} {
+	for _, heard := range [][]roomshare.CapacityReport{nil, {told("region-b", 0)}} {
 		world, rooms := newRegions(streamingRoute, "a", "b", "c")
 		world.fillFirst(3)
 		world.drainFirst()
--- a/internal/requestlog/counters.go
+++ b/internal/requestlog/counters.go
@@ -92,7 +92,7 @@
 
 func countGrant(counter *prometheus.CounterVec, grant sharedlimit.Grant) {
 	by, outcome := "grantor", "granted"
-	if grant.Own {
+	if grant.LocalShare {
 		by = "own_part"
 	}
 	if !grant.Granted {
--- a/internal/requestlog/requestlog.go
+++ b/internal/requestlog/requestlog.go
@@ -182,7 +182,7 @@
 		fields["limit_per_second"] = grant.Limit.RatePerSecond
 		fields["limit_configuration"] = grant.Limit.Version
 		fields["limit_by"] = grant.Grantor
-		fields["limit_own_part"] = grant.Own
+		fields["limit_own_part"] = grant.LocalShare
 		fields["limit_wait_ms"] = grant.Wait.Milliseconds()
 	}
 	if ended.FirstByte > 0 {
@@ -231,7 +231,7 @@
 	}
 	if grant := attempt.LimitGrant; grant != nil {
 		fields["backend_limit_by"] = grant.Grantor
-		fields["backend_limit_own_part"] = grant.Own
+		fields["backend_limit_own_part"] = grant.LocalShare
 	}
 	if replaced := attempt.Replaced; replaced != nil {
 		fields["weights_named"] = replaced.Bound.Newer
--- a/internal/requestlog/requestlog_test.go
+++ b/internal/requestlog/requestlog_test.go
@@ -100,7 +100,7 @@
 	journal, registry := journalTo(&output)
 	ended := ending()
 	ended.Grant = &sharedlimit.Grant{
-		Decision: quota.Decision{Wait: 40 * time.Millisecond}, Grantor: "10.0.0.1:1", Own: true, Cost: 900,
+		Decision: quota.Decision{Wait: 40 * time.Millisecond}, Grantor: "10.0.0.1:1", LocalShare: true, Cost: 900,
 		Limit: quota.Limit{Version: 6, RatePerSecond: 500},
 	}
 	journal.Refused(&relay.Request{ID: "q"}, ended, relay.Refusal{Kind: relay.RefusalOverLimit, Reason: "over_limit"})
--- a/internal/roomshare/roomshare.go
+++ b/internal/roomshare/roomshare.go
@@ -46,8 +46,8 @@
 	Zone   func(address string) identity.Zone
 	// Capacity returns the capacity of a daemon's machine relative to others', above zero.
 	Capacity func(address string) float64
-	// Own is this daemon's zone.
-	Own       identity.Zone
+	// OwnZone is this daemon's zone.
+	OwnZone   identity.Zone
 	Distances distance.Map
 	Pool      *backendpool.Pool
 	// Refresh tells the pool what is under way at back ends, by the hashes of their IDs; nil
@@ -78,7 +78,7 @@
 // New makes a Sharer that hears at once, and tells while it runs.
 func New(options Options) *Sharer {
 	made := &Sharer{
-		options: options, own: options.Distances.Region(options.Own),
+		options: options, own: options.Distances.Region(options.OwnZone),
 		questions: peerlink.NewQuestions[answerMessage](), heard: map[identity.Region]heardRoom{},
 	}
 	made.groups = peerlink.NewGroups(options.Link.Address(), made.region)
@@ -155,32 +155,32 @@
 
 // Rooms returns the rooms that a service has in other regions, of those that told lately, and
 // when each was told. It asks in the own region if what is known is old.
-func (s *Sharer) Rooms(ctx context.Context, service identity.ServiceName) []RoomReport {
+func (s *Sharer) Rooms(ctx context.Context, service identity.ServiceName) []CapacityReport {
 	now := clock.Now()
 	if s.isOld(now) {
 		s.ask(ctx)
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	var rooms []RoomReport
+	var rooms []CapacityReport
 	for region, heard := range s.heard {
 		if now.Sub(heard.at) > forgetAfter {
 			continue
 		}
 		for _, room := range heard.told.Services {
 			if room.Service == service {
-				rooms = append(rooms, RoomReport{RegionCapacity: room.room(region), At: heard.at, Outside: s.outside(region)})
+				rooms = append(rooms, CapacityReport{RegionCapacity: room.room(region), At: heard.at, DaemonsOutside: s.outside(region)})
 			}
 		}
 	}
 	return rooms
 }
 
-// RoomReport is the room of a region with when it was heard, and how many daemons are outside it.
-type RoomReport struct {
+// CapacityReport is the room of a region with when it was heard, and how many daemons are outside it.
+type CapacityReport struct {
 	backendpool.RegionCapacity
-	At      time.Time
-	Outside int
+	At             time.Time
+	DaemonsOutside int
 }
 
 // outside is how many daemons are outside a region.
--- a/internal/roomshare/roomshare_test.go
+++ b/internal/roomshare/roomshare_test.go
@@ -91,7 +91,7 @@
 		others := append(append([]string(nil), addresses[:number]...), addresses[number+1:]...)
 		joined.sharer = New(Options{
 			Link: joined, Others: func() []string { return others }, Zone: func(address string) identity.Zone { return made.zones[address] },
-			Capacity: func(string) float64 { return 1 }, Own: joined.zone, Distances: made.distances, Pool: joined.pool,
+			Capacity: func(string) float64 { return 1 }, OwnZone: joined.zone, Distances: made.distances, Pool: joined.pool,
 		})
 		made.daemons = append(made.daemons, joined)
 	}
@@ -144,7 +144,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		seed, regions := rapid.Uint64().Draw(rt, "seed"), rapid.SampledFrom([]int{1, 2, 6}).Draw(rt, "regions")
 		loss := rapid.Float64Range(0, 0.05).Draw(rt, "loss")
-		found := map[int][]RoomReport{}
+		found := map[int][]CapacityReport{}
 		synctest.Test(t, func(t *testing.T) {
 			fleet := newFleet(seed, regions, 4*regions)
 			ctx, cancel := context.WithCancel(context.Background())
@@ -167,7 +167,7 @@
 				if room.Region == regionOf(0) {
 					expected = 0
 				}
-				if room.Free(backendpool.Limits{}, 0) != expected || room.Outside != 4*(regions-1) {
+				if room.Free(backendpool.Limits{}, 0) != expected || room.DaemonsOutside != 4*(regions-1) {
 					rt.Fatalf("daemon %d is told %+v", number, room)
 				}
 			}
--- a/internal/sharedlimit/limiter.go
+++ b/internal/sharedlimit/limiter.go
@@ -133,9 +133,9 @@
 	quota.Decision
 	// Grantor is the address of the daemon that decided.
 	Grantor string
-	// Own is set where neither the home nor the daemon in its place answered, so that this
+	// LocalShare is set where neither the home nor the daemon in its place answered, so that this
 	// daemon decided by its own part of the limit.
-	Own bool
+	LocalShare bool
 	// Limit is the limit as the asking daemon knows it, and Cost what was asked for.
 	Limit  quota.Limit
 	Cost   float64
@@ -162,7 +162,7 @@
 		}
 	}
 	request.Key.Number = l.questions.Next()
-	return Grant{Decision: l.takePart(request), Grantor: l.self, Own: true, Limit: limit, Cost: cost, number: request.Key.Number}
+	return Grant{Decision: l.takePart(request), Grantor: l.self, LocalShare: true, Limit: limit, Cost: cost, number: request.Key.Number}
 }
 
 // Return gives back what was granted for a request that did not run.
@@ -177,7 +177,7 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if grant.Own {
+	if grant.LocalShare {
 		l.parts.Return(key)
 		return
 	}
--- a/internal/sharedlimit/limiter_test.go
+++ b/internal/sharedlimit/limiter_test.go
@@ -211,7 +211,7 @@
 		for round, longest := range []time.Duration{answerTimeout + 2*peerlinktest.Delay, 2 * peerlinktest.Delay, 2 * peerlinktest.Delay} {
 			began := time.Now()
 			grant := asking.limiter.Take(t.Context(), tenant, testLimit(1), 10)
-			assert.Assert(t, grant.Granted && !grant.Own)
+			assert.Assert(t, grant.Granted && !grant.LocalShare)
 			assert.Assert(t, time.Since(began) <= longest, "round %d took %v", round, time.Since(began))
 		}
 	})
