--- a/internal/loadhome/findings.go
+++ b/internal/loadhome/findings.go
@@ -8,75 +8,75 @@
 	"github.com/lotusward/lotusward/internal/peerlink"
 )
 
-// findingMessage tells what was found out of back ends.
+// findingMessage carries findings about back ends.
 type findingMessage struct{ Findings []compactFinding }
 
-// compactFinding is a backendpool.Finding as it is sent.
+// compactFinding is the wire form of a backendpool.Finding.
 type compactFinding struct {
 	Key uint64
-	// Found is a sum of the bits below.
+	// Found is a bit set of the flags below.
 	Found uint8
 }
 
 const (
-	foundUnreached uint8 = 1 << iota
-	foundDraining
-	foundRefusing
+	flagUnreached uint8 = 1 << iota
+	flagDraining
+	flagRefusing
 )
 
-func compact(finding backendpool.Finding) compactFinding {
+func newCompactFinding(finding backendpool.Finding) compactFinding {
 	sent := compactFinding{Key: finding.Key}
 	if finding.Unreached {
-		sent.Found |= foundUnreached
+		sent.Found |= flagUnreached
 	}
 	if finding.Draining {
-		sent.Found |= foundDraining
+		sent.Found |= flagDraining
 	}
 	if finding.Refusing {
-		sent.Found |= foundRefusing
+		sent.Found |= flagRefusing
 	}
 	return sent
 }
 
-func (c compactFinding) finding() backendpool.Finding {
+func (c compactFinding) decode() backendpool.Finding {
 	return backendpool.Finding{
-		Key: c.Key, Unreached: c.Found&foundUnreached != 0, Draining: c.Found&foundDraining != 0, Refusing: c.Found&foundRefusing != 0,
+		Key: c.Key, Unreached: c.Found&flagUnreached != 0, Draining: c.Found&flagDraining != 0, Refusing: c.Found&flagRefusing != 0,
 	}
 }
 
-// noteFindings tells homes what this daemon has found out of their back ends.
-func (h *Homes) noteFindings(findings []backendpool.Finding) {
+// sendFindings sends this daemon's findings to the homes of the back ends they concern.
+func (h *Homes) sendFindings(findings []backendpool.Finding) {
 	if !h.Needed() {
 		return
 	}
 	byHome := map[string][]compactFinding{}
 	for _, finding := range findings {
 		for _, home := range h.homes(finding.Key) {
-			if home != h.self { // which knows already
-				byHome[home] = append(byHome[home], compact(finding))
+			if home != h.self { // its own findings are in its pool already
+				byHome[home] = append(byHome[home], newCompactFinding(finding))
 			}
 		}
 	}
-	for home, noted := range byHome {
-		peerlink.Tell(h.options.Link, home, peerlink.KindFindingNote, &findingMessage{Findings: noted})
+	for home, sent := range byHome {
+		peerlink.Tell(h.options.Link, home, peerlink.KindFindingNote, &findingMessage{Findings: sent})
 	}
 }
 
-// hearFindings takes in what another daemon has found out.
-func (h *Homes) hearFindings(_ string, got findingMessage) {
+// receiveFindings applies the findings of another daemon.
+func (h *Homes) receiveFindings(_ string, got findingMessage) {
 	now := clock.Now()
 	for _, sent := range got.Findings {
-		h.options.Pool.ReceiveFinding(now, sent.finding())
+		h.options.Pool.ReceiveFinding(now, sent.decode())
 	}
 }
 
-// tellKnown tells a daemon that asks for loads what is known of the back ends. It goes before the answer, which the asker
-// waits for.
-func (h *Homes) tellKnown(now time.Time, to string, keys []uint64) {
+// sendKnownFindings sends a daemon that queries loads the findings known for the same back ends. It precedes the
+// answer, so that the findings arrive before the requester stops waiting.
+func (h *Homes) sendKnownFindings(now time.Time, to string, keys []uint64) {
 	var known []compactFinding
 	for _, key := range keys {
 		if finding := h.options.Pool.FindingOf(now, key); !finding.IsEmpty() {
-			known = append(known, compact(finding))
+			known = append(known, newCompactFinding(finding))
 		}
 	}
 	if len(known) > 0 {
@@ -84,11 +84,11 @@
 	}
 }
 
-// hearKnown takes in what a home knows.
-func (h *Homes) hearKnown(_ string, got findingMessage) {
+// receiveKnownFindings applies the findings that a home sent along with its answer.
+func (h *Homes) receiveKnownFindings(_ string, got findingMessage) {
 	known := make([]backendpool.Finding, len(got.Findings))
 	for index, sent := range got.Findings {
-		known[index] = sent.finding()
+		known[index] = sent.decode()
 	}
 	h.options.Pool.ReceiveHomeFindings(clock.Now(), known)
 }
--- a/internal/loadhome/findings_test.go
+++ b/internal/loadhome/findings_test.go
@@ -12,7 +12,7 @@
 	"github.com/lotusward/lotusward/internal/core/rendezvous"
 )
 
-// probe probes the suspects of all daemons' pools; gone tells which back ends can't be reached.
+// probe runs the due probes of all daemons' pools. gone reports which back ends are unreachable.
 func (f *fleet) probe(gone func(backendpool.ProbeTarget) bool) (probes int) {
 	for _, each := range f.daemons {
 		for _, suspect := range each.pool.TakeDueProbes(time.Now()) {
@@ -23,10 +23,10 @@
 	return probes
 }
 
-// TestOneDaemonsFindingsReachWhoSendsNext lets one daemon of many find a back end gone, draining or refusing: each other
-// one that samples it learns so before it sends. Telling all daemons, and believing two, nobody ever learnt it where each
-// sends to a back end every few hours.
-func TestOneDaemonsFindingsReachWhoSendsNext(t *testing.T) {
+// TestFindingsReachNextSender has one daemon of a large fleet find a back end unreachable or draining. Each other
+// daemon that samples the back end must learn this before it sends there. Broadcasting findings and requiring two
+// reports did not work: where each daemon sends to a back end only every few hours, no daemon ever learned it.
+func TestFindingsReachNextSender(t *testing.T) {
 	for name, find := range map[string]func(*backendpool.Pool, *backendpool.Ticket){
 		"unreached": func(_ *backendpool.Pool, ticket *backendpool.Ticket) {
 			ticket.Release(time.Now(), backendpool.ResultUnreachable)
@@ -47,14 +47,14 @@
 				find(finder.pool, ticket)
 				time.Sleep(50 * time.Millisecond)
 				probes := fleet.probe(func(suspect backendpool.ProbeTarget) bool { return suspect.ID == gone })
-				assert.Assert(t, probes <= homesEach+1, "%d probes", probes)
+				assert.Assert(t, probes <= homesPerKey+1, "%d probes", probes)
 				for number, asking := range fleet.daemons {
 					var keys []uint64
 					for backend := range backends {
 						keys = append(keys, rendezvous.Key(string(backendID(backend))))
 					}
 					asking.homes.Refresh(context.Background(), keys)
-					time.Sleep(time.Millisecond) // here datagrams that are sent together may overtake each other
+					time.Sleep(time.Millisecond) // the simulated network may reorder datagrams sent together
 					for range 10 {
 						picked := asking.pool.Pick(time.Now(), backendpool.Query{Service: "s", CandidateKeys: keys})
 						assert.Assert(t, picked.Backend.ID != gone, "by daemon %d", number)
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestCutOffDaemonConvincesNobody has a daemon that is cut off from all back ends tell so: their homes reach them, and
-// nobody leaves them out.
-func TestCutOffDaemonConvincesNobody(t *testing.T) {
+// TestIsolatedDaemonEjectsNoBackends has a daemon that lost contact to all back ends report them as unreachable.
+// Their homes still reach them, so no other daemon may eject them.
+func TestIsolatedDaemonEjectsNoBackends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(1, 40)
 		defer fleet.stop()
--- a/internal/loadhome/gather.go
+++ b/internal/loadhome/gather.go
@@ -8,17 +8,17 @@
 	"github.com/lotusward/lotusward/internal/peerlink"
 )
 
-// heard is an answer with the home that it is from.
-type heard[Message any] struct {
+// peerAnswer is an answer and the address of the home that sent it.
+type peerAnswer[Message any] struct {
 	from    string
 	message Message
 }
 
-// gather asks homes, each for some of the keys of which it is one, and has their answers taken in. It goes on without
-// those that take longer than answers mostly do.
-func gather[Message any](
-	ctx context.Context, h *Homes, questions *peerlink.Questions[heard[Message]], byHome map[string][]uint64,
-	tell func(home string, number uint64, keys []uint64), take func(Message),
+// queryHomes sends each home the keys it is responsible for and applies the answers. It returns without the
+// answers that take longer than the adaptive timeout.
+func queryHomes[Message any](
+	ctx context.Context, h *Homes, questions *peerlink.Questions[peerAnswer[Message]], byHome map[string][]uint64,
+	send func(home string, number uint64, keys []uint64), apply func(Message),
 ) {
 	if len(byHome) == 0 {
 		return
@@ -27,7 +27,7 @@
 	answers := questions.Await(number, len(byHome))
 	defer questions.Forget(number)
 	for home, keys := range byHome {
-		tell(home, number, keys)
+		send(home, number, keys)
 	}
 	asked := clock.Now()
 	timeout := time.NewTimer(h.timeout(byHome))
@@ -35,11 +35,11 @@
 	for len(byHome) > 0 {
 		select {
 		case got := <-answers:
-			h.answered(got.from, clock.Since(asked))
-			take(got.message)
+			h.recordRoundTrip(got.from, clock.Since(asked))
+			apply(got.message)
 			delete(byHome, got.from)
 		case <-timeout.C:
-			h.noteSilent(byHome)
+			h.recordTimeouts(byHome)
 			return
 		case <-ctx.Done():
 			return
--- a/internal/loadhome/ledger.go
+++ b/internal/loadhome/ledger.go
@@ -7,61 +7,60 @@
 	"github.com/lotusward/lotusward/internal/core/backendpool"
 )
 
-// ledger adds up what daemons have noted at their home, by back end. It is safe for use by
-// several goroutines.
-type ledger struct {
+// loadTable holds the loads that daemons reported to this home, per back end. It is safe for concurrent use.
+type loadTable struct {
 	mutex sync.Mutex
-	// notes are the last notes of the daemons, by the back end's key and the daemon.
-	notes map[uint64]map[string]note
+	// reports holds the last report of each daemon, by back-end key and daemon address.
+	reports map[uint64]map[string]loadReport
 }
 
-// note is what one daemon has under way at one back end.
-type note struct {
+// loadReport is the load that one daemon last reported for one back end.
+type loadReport struct {
 	load backendpool.Load
 	at   time.Time
 }
 
-func newLedger() *ledger { return &ledger{notes: map[uint64]map[string]note{}} }
+func newLoadTable() *loadTable { return &loadTable{reports: map[uint64]map[string]loadReport{}} }
 
-// note takes in what a daemon has under way at a back end.
-func (l *ledger) note(now time.Time, from string, load backendpool.Load) {
+// record stores the load of a daemon at a back end. An empty load removes the report.
+func (l *loadTable) record(now time.Time, from string, load backendpool.Load) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if load.IsEmpty() {
-		delete(l.notes[load.Key], from)
+		delete(l.reports[load.Key], from)
 		return
 	}
-	if l.notes[load.Key] == nil {
-		l.notes[load.Key] = map[string]note{}
+	if l.reports[load.Key] == nil {
+		l.reports[load.Key] = map[string]loadReport{}
 	}
-	l.notes[load.Key][from] = note{load: load, at: now}
+	l.reports[load.Key][from] = loadReport{load: load, at: now}
 }
 
-// sum is what all daemons but one have under way at a back end. What was not noted again
-// for a while counts for nothing: the daemon is gone, or has another home.
-func (l *ledger) sum(now time.Time, key uint64, except string) backendpool.Load {
+// sumExcept returns the total load that all daemons but one have at a back end. Reports older than reportTTL are
+// dropped: the daemon is gone or now reports to another home.
+func (l *loadTable) sumExcept(now time.Time, key uint64, except string) backendpool.Load {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	sum := backendpool.Load{Key: key}
-	for from, noted := range l.notes[key] {
-		if now.Sub(noted.at) > forgetAfter {
-			delete(l.notes[key], from)
+	for from, report := range l.reports[key] {
+		if now.Sub(report.at) > reportTTL {
+			delete(l.reports[key], from)
 			continue
 		}
 		if from != except {
-			sum = sum.Add(noted.load)
+			sum = sum.Add(report.load)
 		}
 	}
 	return sum
 }
 
-// prune forgets back ends without notes.
-func (l *ledger) prune() {
+// prune removes back ends that have no reports.
+func (l *loadTable) prune() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for key, noted := range l.notes {
-		if len(noted) == 0 {
-			delete(l.notes, key)
+	for key, reports := range l.reports {
+		if len(reports) == 0 {
+			delete(l.reports, key)
 		}
 	}
 }
--- a/internal/loadhome/limits.go
+++ b/internal/loadhome/limits.go
@@ -14,36 +14,36 @@
 )
 
 const (
-	// limitTellers is how many others a daemon that starts asks for the limits in force, and limitQuestions how often it
-	// asks where none answers: daemons of earlier builds don't.
-	limitTellers   = 3
-	limitQuestions = 5
-	// limitsEach is how many limits fit into a datagram.
-	limitsEach = 128
+	// limitPeersAsked is how many other daemons a starting daemon asks for the limits in force. It asks at most
+	// maxLimitQuestions times without an answer, since daemons of earlier builds never answer.
+	limitPeersAsked   = 3
+	maxLimitQuestions = 5
+	// limitsPerDatagram is how many limits fit into a datagram.
+	limitsPerDatagram = 128
 )
 
-// limitsQuestion asks for the limits in force.
+// limitsQuestion requests all limits in force.
 type limitsQuestion struct{}
 
-// limitMessage tells limits of requests that back ends have named.
+// limitMessage carries request limits announced by back ends.
 type limitMessage struct{ Limits []compactLimit }
 
-// compactLimit is a backendpool.BackendLimit as it is sent.
+// compactLimit is the wire form of a backendpool.BackendLimit.
 type compactLimit struct {
 	Key, Version uint64
 	InForce      bool
 	PerSecond    float64
 }
 
-func (c compactLimit) told() backendpool.BackendLimit {
+func (c compactLimit) decode() backendpool.BackendLimit {
 	return backendpool.BackendLimit{
 		Key: c.Key, Limit: backendpool.RequestLimit{Version: c.Version, InForce: c.InForce, PerSecond: c.PerSecond},
 	}
 }
 
-func compactLimits(told []backendpool.BackendLimit) *limitMessage {
+func compactLimits(limits []backendpool.BackendLimit) *limitMessage {
 	message := &limitMessage{}
-	for _, each := range told {
+	for _, each := range limits {
 		message.Limits = append(message.Limits, compactLimit{
 			Key: each.Key, Version: each.Limit.Version, InForce: each.Limit.InForce, PerSecond: each.Limit.PerSecond,
 		})
@@ -51,17 +51,17 @@
 	return message
 }
 
-// LimitHomes returns the daemons that grant for the limit of a back end, its homes.
+// LimitHomes returns the homes of a back end, which are the daemons that grant parts of its request limit.
 func (h *Homes) LimitHomes(id identity.BackendID) []string {
 	return h.homes(rendezvous.Key(string(id)))
 }
 
-// noteLimits tells what this daemon has heard of limits: all other daemons where these are few, else the homes, which tell
-// those that ask them for loads.
-func (h *Homes) noteLimits(told []backendpool.BackendLimit) {
+// sendLimitChanges sends limits that this daemon received from back ends. In a small fleet they go to all other
+// daemons, otherwise to the homes, which pass them on with their answers to load questions.
+func (h *Homes) sendLimitChanges(changes []backendpool.BackendLimit) {
 	byDaemon := map[string][]backendpool.BackendLimit{}
-	for _, each := range told {
-		for _, daemon := range h.toldLimits(each.Key) {
+	for _, each := range changes {
+		for _, daemon := range h.limitRecipients(each.Key) {
 			if daemon != h.self {
 				byDaemon[daemon] = append(byDaemon[daemon], each)
 			}
@@ -72,23 +72,24 @@
 	}
 }
 
-// toldLimits are the daemons that are told of a back end's limit.
-func (h *Homes) toldLimits(key uint64) []string {
+// limitRecipients returns the daemons to which changes of a back end's limit are sent.
+func (h *Homes) limitRecipients(key uint64) []string {
 	if h.Needed() {
 		return h.homes(key)
 	}
 	return h.options.Others()
 }
 
-// tellLimits tells a daemon that asks for loads what is known of the back ends' limits. It goes before the answer, which the
-// asker waits for.
-func (h *Homes) tellLimits(now time.Time, to string, keys []uint64) {
+// sendKnownLimits sends a daemon that queries loads the limits known for the same back ends. It precedes the
+// answer, so that the limits arrive before the requester stops waiting.
+func (h *Homes) sendKnownLimits(now time.Time, to string, keys []uint64) {
 	if known := h.options.Pool.KnownLimits(now, keys); len(known) > 0 {
 		h.sendLimits(to, known)
 	}
 }
 
-// NotifyBackendsListed notes that back ends were listed. A daemon that starts asks others then for the limits in force.
+// NotifyBackendsListed signals that the list of back ends was received. A starting daemon then asks others for the
+// limits in force.
 func (h *Homes) NotifyBackendsListed() {
 	select {
 	case h.listed <- struct{}{}:
@@ -96,40 +97,40 @@
 	}
 }
 
-// askLimits asks some others for the limits in force, unless any has told some.
-func (h *Homes) askLimits() {
+// requestLimits asks some other daemons for the limits in force, unless any limits were received already.
+func (h *Homes) requestLimits() {
 	others := h.options.Others()
-	if h.limitsTold.Load() || h.limitQuestions == 0 || len(others) == 0 {
+	if h.limitsReceived.Load() || h.limitQuestionsLeft == 0 || len(others) == 0 {
 		return
 	}
-	h.limitQuestions--
-	for _, index := range rand.Perm(len(others))[:min(limitTellers, len(others))] {
+	h.limitQuestionsLeft--
+	for _, index := range rand.Perm(len(others))[:min(limitPeersAsked, len(others))] {
 		peerlink.Tell(h.options.Link, others[index], peerlink.KindRequestLimitsQuestion, &limitsQuestion{})
 	}
 }
 
-// hearLimitsQuestion tells a daemon that starts the limits in force.
-func (h *Homes) hearLimitsQuestion(from string, _ limitsQuestion) {
+// receiveLimitsQuestion answers a starting daemon with the limits in force.
+func (h *Homes) receiveLimitsQuestion(from string, _ limitsQuestion) {
 	h.sendLimits(from, h.options.Pool.LimitsInForce(clock.Now()))
 }
 
-// sendLimits tells a daemon some limits, or that there are none.
+// sendLimits sends limits to a daemon in as many datagrams as needed. An empty message states that there are none.
 func (h *Homes) sendLimits(to string, limits []backendpool.BackendLimit) {
-	for len(limits) > limitsEach {
-		peerlink.Tell(h.options.Link, to, peerlink.KindRequestLimits, compactLimits(limits[:limitsEach]))
-		limits = limits[limitsEach:]
+	for len(limits) > limitsPerDatagram {
+		peerlink.Tell(h.options.Link, to, peerlink.KindRequestLimits, compactLimits(limits[:limitsPerDatagram]))
+		limits = limits[limitsPerDatagram:]
 	}
 	peerlink.Tell(h.options.Link, to, peerlink.KindRequestLimits, compactLimits(limits))
 }
 
-// hearLimits takes in what another daemon knows of limits.
-func (h *Homes) hearLimits(from string, got limitMessage) {
-	h.limitsTold.Store(true)
-	told := make([]backendpool.BackendLimit, len(got.Limits))
+// receiveLimits applies limits known to another daemon.
+func (h *Homes) receiveLimits(from string, got limitMessage) {
+	h.limitsReceived.Store(true)
+	limits := make([]backendpool.BackendLimit, len(got.Limits))
 	for index, sent := range got.Limits {
-		told[index] = sent.told()
+		limits[index] = sent.decode()
 	}
-	for _, id := range h.options.Pool.ReceiveLimits(clock.Now(), told) {
+	for _, id := range h.options.Pool.ReceiveLimits(clock.Now(), limits) {
 		limit := h.options.Pool.RequestLimit(id)
 		h.options.Log.WithFields(logrus.Fields{
 			"backend": id.Name(), "from": from, "in_force": limit.InForce, "limit_per_second": limit.PerSecond, "limit_version": limit.Version,
--- a/internal/loadhome/loadhome.go
+++ b/internal/loadhome/loadhome.go
@@ -1,9 +1,10 @@
-// Package loadhome lets many daemons know what is under way at a back end at the moment of
-// a choice, and what any of them has found out of it. Each back end has two homes among the
-// daemons of its region, by rendezvous hashing. Whoever sends a request there, or hears its
-// first byte or its end, notes so at the homes, and who is about to choose asks one of them. Up to some ten daemons all tell all instead (package
-// loadshare); among more that is too much to tell, and an estimate of many places that live
-// for a second is noise.
+// Package loadhome gives daemons of a large fleet the current load of a back end when they select one, along with
+// the findings of other daemons about it. Each back end has two home daemons in its region, chosen by rendezvous
+// hashing. A daemon reports to the homes when it starts a request at a back end, receives its first byte or ends
+// it, and queries one home before it selects.
+//
+// Up to about ten daemons broadcast their loads instead (package loadshare). In a larger fleet the broadcasts need
+// too much bandwidth, and an estimate of many slots from reports that are valid for a second is too noisy.
 package loadhome
 
 import (
@@ -26,86 +27,87 @@
 )
 
 const (
-	// homesEach is how many homes a back end has: one may be gone.
-	homesEach = 2
-	// repeatInterval is how often what is under way is noted again, since notes may be lost,
-	// and forgetAfter how long a note counts.
+	// homesPerKey is the number of homes of a back end or prompt part: with two, one may fail.
+	homesPerKey = 2
+	// repeatInterval is how often loads are reported again, since datagrams may be lost, and reportTTL how long a
+	// report is valid.
 	repeatInterval = time.Second
-	forgetAfter    = 2500 * time.Millisecond
+	reportTTL      = 2500 * time.Millisecond
 )
 
-// Options are what a Homes works with.
+// Options configures a Homes.
 type Options struct {
 	Link peerlink.Carrier
-	// Others returns the addresses of the other daemons, in another slice whenever any of them
-	// is described anew.
+	// Others returns the addresses of the other daemons. It returns a new slice whenever the description of one of
+	// them changes.
 	Others func() []string
 	Pool   *backendpool.Pool
-	// Memory remembers where parts of prompts are.
+	// Memory records which back ends hold parts of prompts.
 	Memory   *promptcache.Memory
 	Presence *presence.List
-	// Zone returns the zone of a daemon, by its address; empty is unknown. Nil knows none.
+	// Zone returns the zone of a daemon by its address, or an empty string if unknown. If nil, no zone is known.
 	Zone func(address string) identity.Zone
 	// OwnZone is this daemon's zone.
 	OwnZone identity.Zone
-	// Distances tells the regions of zones.
+	// Distances maps zones to regions.
 	Distances distance.Map
 	Log       logrus.FieldLogger
 }
 
-// Homes notes this daemon's loads at their homes, asks for others', and is a home itself.
-// It is safe for use by several goroutines.
+// Homes reports this daemon's loads to their homes, queries the loads of other daemons, and serves as a home
+// itself. It is safe for concurrent use.
 type Homes struct {
 	options       Options
 	self          string
-	ledger        *ledger
-	questions     *peerlink.Questions[heard[answerMessage]]
-	partQuestions *peerlink.Questions[heard[partAnswer]]
+	loads         *loadTable
+	questions     *peerlink.Questions[peerAnswer[answerMessage]]
+	partQuestions *peerlink.Questions[peerAnswer[partAnswer]]
 	silence       *presence.Silence
 	groups        *peerlink.Groups
-	// listed gets a value when back ends were listed; limitsTold is set once another daemon has told limits of requests, and
-	// limitQuestions is how often they may still be asked for, in the goroutine of Run.
-	listed         chan struct{}
-	limitsTold     atomic.Bool
-	limitQuestions int
+	// listed is signalled when back ends were listed. limitsReceived is set once another daemon has sent limits.
+	// limitQuestionsLeft is how often limits may still be requested; only the goroutine of Run uses it.
+	listed             chan struct{}
+	limitsReceived     atomic.Bool
+	limitQuestionsLeft int
 
 	mutex sync.Mutex
-	// known are the homes of back ends among the daemons of knownOf.
-	known   map[uint64][]string
-	knownOf *peerlink.Grouping
-	// nearTimeout is how long answers from the own region are waited for, and farTimeout those from others.
-	nearTimeout, farTimeout roundTrip
+	// homesByKey caches the homes of back ends for the daemons in homesGrouping.
+	homesByKey    map[uint64][]string
+	homesGrouping *peerlink.Grouping
+	// sameRegionRTT and otherRegionRTT determine how long answers from this and from other regions are awaited.
+	sameRegionRTT, otherRegionRTT rttEstimator
 }
 
-// New makes a Homes that is asked at once, and notes loads while it runs.
+// New creates a Homes and registers its message handlers. Loads are reported while Run is active.
 func New(options Options) *Homes {
 	made := &Homes{
-		options: options, self: options.Link.Address(), ledger: newLedger(),
-		questions: peerlink.NewQuestions[heard[answerMessage]](), partQuestions: peerlink.NewQuestions[heard[partAnswer]](), silence: presence.NewSilence(options.Presence),
-		listed: make(chan struct{}, 1), limitQuestions: limitQuestions,
+		options: options, self: options.Link.Address(), loads: newLoadTable(),
+		questions: peerlink.NewQuestions[peerAnswer[answerMessage]](), partQuestions: peerlink.NewQuestions[peerAnswer[partAnswer]](), silence: presence.NewSilence(options.Presence),
+		listed: make(chan struct{}, 1), limitQuestionsLeft: maxLimitQuestions,
 	}
-	made.nearTimeout.near = true
+	made.sameRegionRTT.sameRegion = true
 	made.groups = peerlink.NewGroups(made.self, made.region)
-	peerlink.HandleDecoded(options.Link, peerlink.KindLoadNote, made.hearNote)
-	peerlink.HandleDecoded(options.Link, peerlink.KindLoadQuestion, made.hearQuestion)
-	peerlink.HandleDecoded(options.Link, peerlink.KindLoadAnswer, made.hearAnswer)
-	peerlink.HandleDecoded(options.Link, peerlink.KindPartNote, made.hearPartNote)
-	peerlink.HandleDecoded(options.Link, peerlink.KindPartQuestion, made.hearPartQuestion)
-	peerlink.HandleDecoded(options.Link, peerlink.KindPartAnswer, made.hearPartAnswer)
-	peerlink.HandleDecoded(options.Link, peerlink.KindFindingNote, made.hearFindings)
-	peerlink.HandleDecoded(options.Link, peerlink.KindFindingKnown, made.hearKnown)
-	peerlink.HandleDecoded(options.Link, peerlink.KindRequestLimits, made.hearLimits)
-	peerlink.HandleDecoded(options.Link, peerlink.KindRequestLimitsQuestion, made.hearLimitsQuestion)
+	peerlink.HandleDecoded(options.Link, peerlink.KindLoadNote, made.receiveNote)
+	peerlink.HandleDecoded(options.Link, peerlink.KindLoadQuestion, made.receiveQuestion)
+	peerlink.HandleDecoded(options.Link, peerlink.KindLoadAnswer, made.receiveAnswer)
+	peerlink.HandleDecoded(options.Link, peerlink.KindPartNote, made.receivePartNote)
+	peerlink.HandleDecoded(options.Link, peerlink.KindPartQuestion, made.receivePartQuestion)
+	peerlink.HandleDecoded(options.Link, peerlink.KindPartAnswer, made.receivePartAnswer)
+	peerlink.HandleDecoded(options.Link, peerlink.KindFindingNote, made.receiveFindings)
+	peerlink.HandleDecoded(options.Link, peerlink.KindFindingKnown, made.receiveKnownFindings)
+	peerlink.HandleDecoded(options.Link, peerlink.KindRequestLimits, made.receiveLimits)
+	peerlink.HandleDecoded(options.Link, peerlink.KindRequestLimitsQuestion, made.receiveLimitsQuestion)
 	return made
 }
 
-// Needed tells whether there are too many daemons to tell all of all loads.
+// Needed reports whether the fleet is too large to broadcast loads.
 func (h *Homes) Needed() bool { return len(h.options.Others()) > loadshare.MaxLoadPeers }
 
-// PartsEnabled tells whether there are too many daemons to tell all where parts of prompts are: their homes are told then.
+// PartsEnabled reports whether the fleet is too large to broadcast the locations of prompt parts, so that they go
+// to the homes of the parts.
 func (h *Homes) PartsEnabled() bool { return len(h.options.Others()) > loadshare.MaxPartPeers }
 
-// Run notes loads as they change until the context ends.
+// Run reports loads as they change until the context ends.
 func (h *Homes) Run(ctx context.Context) error {
 	repeat := time.NewTicker(repeatInterval)
 	defer repeat.Stop()
@@ -115,24 +117,24 @@
 		case <-ctx.Done():
 			return nil
 		case <-h.options.Pool.Changed():
-			h.noteAll(h.options.Pool.ChangedLoads())
-			h.noteFindings(h.options.Pool.TakeFindings())
-			h.noteLimits(h.options.Pool.TakeChangedLimits())
+			h.sendLoads(h.options.Pool.ChangedLoads())
+			h.sendFindings(h.options.Pool.TakeFindings())
+			h.sendLimitChanges(h.options.Pool.TakeChangedLimits())
 		case <-h.listed:
 			listed = true
-			h.askLimits()
+			h.requestLimits()
 		case <-repeat.C:
 			if listed {
-				h.askLimits()
+				h.requestLimits()
 			}
-			h.noteAll(h.options.Pool.Loads(loadshare.MaxLoads))
-			h.ledger.prune()
+			h.sendLoads(h.options.Pool.Loads(loadshare.MaxLoads))
+			h.loads.prune()
 		}
 	}
 }
 
-// noteAll notes loads at their homes, those of one home in one datagram.
-func (h *Homes) noteAll(loads []backendpool.Load) {
+// sendLoads reports loads to their homes, with one datagram per home.
+func (h *Homes) sendLoads(loads []backendpool.Load) {
 	if !h.Needed() {
 		return
 	}
@@ -140,60 +142,61 @@
 	for _, load := range loads {
 		for _, home := range h.homes(load.Key) {
 			if home == h.self {
-				h.ledger.note(clock.Now(), h.self, load)
+				h.loads.record(clock.Now(), h.self, load)
 				continue
 			}
 			byHome[home] = append(byHome[home], loadshare.Compact(load))
 		}
 	}
-	for home, noted := range byHome {
-		peerlink.Tell(h.options.Link, home, peerlink.KindLoadNote, &noteMessage{Loads: noted})
+	for home, reports := range byHome {
+		peerlink.Tell(h.options.Link, home, peerlink.KindLoadNote, &noteMessage{Loads: reports})
 	}
 }
 
-// homes are the homes of a back end, by the hash of its ID.
+// homes returns the homes of a back end, given the hash of its ID.
 func (h *Homes) homes(key uint64) []string {
 	grouped := h.groups.Of(h.options.Others())
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if grouped != h.knownOf {
-		h.known, h.knownOf = map[uint64][]string{}, grouped
+	if grouped != h.homesGrouping {
+		h.homesByKey, h.homesGrouping = map[uint64][]string{}, grouped
 	}
-	found, known := h.known[key]
+	found, known := h.homesByKey[key]
 	if !known {
-		daemons, sure := h.near(grouped, key)
-		found = rendezvous.Top(key, daemons, homesEach)
+		daemons, sure := h.candidateDaemons(grouped, key)
+		found = rendezvous.Top(key, daemons, homesPerKey)
 		if sure {
-			h.known[key] = found
+			h.homesByKey[key] = found
 		}
 	}
 	return found
 }
 
-// Refresh asks the homes of back ends, by the hashes of their IDs, for what other daemons
-// have under way there, and tells the pool. It goes on with what is known where answers take
-// longer than they mostly do.
+// Refresh queries the homes of back ends, given the hashes of their IDs, for the loads of other daemons and
+// updates the pool. It proceeds without the answers that take longer than the adaptive timeout.
 func (h *Homes) Refresh(ctx context.Context, keys []uint64) {
 	now := clock.Now()
 	byHome := map[string][]uint64{}
 	var loads []backendpool.Load
 	for _, key := range keys {
-		home := h.asked(now, key)
+		home := h.respondingHome(now, key)
 		if home == h.self {
-			loads = append(loads, h.ledger.sum(now, key, h.self))
+			loads = append(loads, h.loads.sumExcept(now, key, h.self))
 			h.options.Pool.ReceiveHomeFindings(now, []backendpool.Finding{h.options.Pool.FindingOf(now, key)})
 			continue
 		}
 		byHome[home] = append(byHome[home], key)
 	}
-	h.options.Pool.UpdateOthersLoad(append(loads, h.ask(ctx, byHome)...))
+	h.options.Pool.UpdateOthersLoad(append(loads, h.queryLoads(ctx, byHome)...))
 }
 
-// asked is the home of a back end that is asked: the first one that answers.
-func (h *Homes) asked(now time.Time, key uint64) string { return h.firstAnswering(now, h.homes(key)) }
+// respondingHome returns the home of a back end to query: the first that responds.
+func (h *Homes) respondingHome(now time.Time, key uint64) string {
+	return h.firstResponding(now, h.homes(key))
+}
 
-// firstAnswering is the first of some homes that was not silent lately.
-func (h *Homes) firstAnswering(now time.Time, homes []string) string {
+// firstResponding returns the first home that did not time out recently, or the first one if all did.
+func (h *Homes) firstResponding(now time.Time, homes []string) string {
 	for _, home := range homes {
 		if home == h.self || !h.silence.Is(home, now) {
 			return home
@@ -202,13 +205,13 @@
 	return homes[0]
 }
 
-// ask asks homes, each for some back ends.
-func (h *Homes) ask(ctx context.Context, byHome map[string][]uint64) []backendpool.Load {
+// queryLoads queries homes for the loads of the given back ends.
+func (h *Homes) queryLoads(ctx context.Context, byHome map[string][]uint64) []backendpool.Load {
 	var loads []backendpool.Load
-	tell := func(home string, number uint64, keys []uint64) {
+	send := func(home string, number uint64, keys []uint64) {
 		peerlink.Tell(h.options.Link, home, peerlink.KindLoadQuestion, &questionMessage{Number: number, Keys: keys})
 	}
-	gather(ctx, h, h.questions, byHome, tell, func(got answerMessage) {
+	queryHomes(ctx, h, h.questions, byHome, send, func(got answerMessage) {
 		for _, load := range got.Loads {
 			loads = append(loads, load.Load())
 		}
@@ -216,41 +219,41 @@
 	return loads
 }
 
-func (h *Homes) noteSilent(byHome map[string][]uint64) {
-	now, far, near := clock.Now(), false, false
+func (h *Homes) recordTimeouts(byHome map[string][]uint64) {
+	now, otherRegion, otherZone := clock.Now(), false, false
 	for home := range byHome {
 		h.silence.Note(home, now)
-		far = far || h.isFar(home)
-		near = near || !(h.isFar(home) || h.isOwnZone(home))
+		otherRegion = otherRegion || h.isOtherRegion(home)
+		otherZone = otherZone || !(h.isOtherRegion(home) || h.isOwnZone(home))
 	}
-	if far {
-		h.farTimeout.late()
+	if otherRegion {
+		h.otherRegionRTT.recordTimeout()
 	}
-	if near {
-		h.nearTimeout.late()
+	if otherZone {
+		h.sameRegionRTT.recordTimeout()
 	}
 }
 
-// hearNote takes in another daemon's loads.
-func (h *Homes) hearNote(from string, got noteMessage) {
+// receiveNote records the loads of another daemon.
+func (h *Homes) receiveNote(from string, got noteMessage) {
 	now := clock.Now()
 	for _, load := range got.Loads {
-		h.ledger.note(now, from, load.Load())
+		h.loads.record(now, from, load.Load())
 	}
 }
 
-// hearQuestion answers another daemon.
-func (h *Homes) hearQuestion(from string, got questionMessage) {
+// receiveQuestion answers a load question of another daemon.
+func (h *Homes) receiveQuestion(from string, got questionMessage) {
 	now := clock.Now()
-	h.tellKnown(now, from, got.Keys)
-	h.tellLimits(now, from, got.Keys)
+	h.sendKnownFindings(now, from, got.Keys)
+	h.sendKnownLimits(now, from, got.Keys)
 	answer := &answerMessage{Number: got.Number}
 	for _, key := range got.Keys {
-		answer.Loads = append(answer.Loads, loadshare.Compact(h.ledger.sum(now, key, from)))
+		answer.Loads = append(answer.Loads, loadshare.Compact(h.loads.sumExcept(now, key, from)))
 	}
 	peerlink.Tell(h.options.Link, from, peerlink.KindLoadAnswer, answer)
 }
 
-func (h *Homes) hearAnswer(from string, got answerMessage) {
-	h.questions.Answer(got.Number, heard[answerMessage]{from, got})
+func (h *Homes) receiveAnswer(from string, got answerMessage) {
+	h.questions.Answer(got.Number, peerAnswer[answerMessage]{from, got})
 }
--- a/internal/loadhome/loadhome_test.go
+++ b/internal/loadhome/loadhome_test.go
@@ -22,7 +22,7 @@
 
 const backends = 5
 
-// daemon is one daemon of a test.
+// daemon is a simulated daemon with its pool and unfinished requests.
 type daemon struct {
 	*peerlinktest.Node
 	pool    *backendpool.Pool
@@ -31,7 +31,7 @@
 	stop    context.CancelFunc
 }
 
-// fleet is some daemons before some back ends.
+// fleet is a set of daemons that share back ends and a simulated network.
 type fleet struct {
 	network *peerlinktest.Network
 	daemons []*daemon
@@ -52,7 +52,7 @@
 	return made
 }
 
-// start gives a daemon the state that it has after a start: none.
+// start initialises a daemon with empty state, as after a process start.
 func (d *daemon) start(others []string) {
 	heard := presence.New()
 	d.Observe(func(from string) { heard.Heard(from, time.Now()) })
@@ -85,10 +85,10 @@
 	}
 }
 
-// step lets a daemon begin or end a request.
-func (d *daemon) step(luck *rand.Rand) {
-	if len(d.tickets) > 0 && luck.IntN(2) == 0 {
-		at := luck.IntN(len(d.tickets))
+// startOrEndRequest starts or ends one request at random.
+func (d *daemon) startOrEndRequest(rng *rand.Rand) {
+	if len(d.tickets) > 0 && rng.IntN(2) == 0 {
+		at := rng.IntN(len(d.tickets))
 		d.tickets[at].Release(time.Now(), backendpool.ResultServed)
 		d.tickets = append(d.tickets[:at], d.tickets[at+1:]...)
 		return
@@ -96,8 +96,8 @@
 	d.tickets = append(d.tickets, d.pool.Pick(time.Now(), backendpool.Query{Service: "s"}))
 }
 
-// expectSums compares what each daemon is told with what all others have under way.
-func (f *fleet) expectSums(t assert.TestingT) {
+// checkLoads checks that each daemon receives exactly the total load of all others.
+func (f *fleet) checkLoads(t assert.TestingT) {
 	for number, asking := range f.daemons {
 		var keys []uint64
 		for backend := range backends {
@@ -118,17 +118,16 @@
 	}
 }
 
-// failures collects failed assertions of a bubble, where a property may not end.
+// failures collects failed assertions within a synctest bubble, where a rapid property must not abort.
 type failures struct{ texts []any }
 
 func (f *failures) FailNow()        {}
 func (f *failures) Fail()           {}
 func (f *failures) Log(args ...any) { f.texts = append(f.texts, args...) }
 
-// TestHomesAddUpWhatWasNoted lets daemons begin and end requests while datagrams are lost
-// and daemons start anew without what they knew: once notes were repeated, each daemon is
-// told what the others have under way, exactly.
-func TestHomesAddUpWhatWasNoted(t *testing.T) {
+// TestLoadsAreExactAfterLossAndRestarts starts and ends requests while datagrams are lost and daemons restart
+// without their state. Once reports were repeated, each daemon must receive the exact load of the others.
+func TestLoadsAreExactAfterLossAndRestarts(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed, count := rapid.Uint64().Draw(rt, "seed"), rapid.IntRange(14, 20).Draw(rt, "daemons")
 		loss := rapid.Float64Range(0, 0.3).Draw(rt, "loss")
@@ -140,7 +139,7 @@
 			luck := rand.New(rand.NewPCG(seed, 3))
 			fleet.network.Lose(loss)
 			for step := range 300 {
-				fleet.daemons[luck.IntN(count)].step(luck)
+				fleet.daemons[luck.IntN(count)].startOrEndRequest(luck)
 				if len(restarts) > 0 && step%60 == 30 {
 					fleet.daemons[restarts[0]].restart()
 					restarts = restarts[1:]
@@ -148,8 +147,8 @@
 				time.Sleep(5 * time.Millisecond)
 			}
 			fleet.network.Lose(0)
-			time.Sleep(forgetAfter + repeatInterval)
-			fleet.expectSums(&failed)
+			time.Sleep(reportTTL + repeatInterval)
+			fleet.checkLoads(&failed)
 		})
 		if len(failed.texts) > 0 {
 			rt.Fatal(failed.texts...)
@@ -157,9 +156,9 @@
 	})
 }
 
-// TestLoadsAreKnownAtOnce begins a request at one daemon: each other one is told of it some
-// milliseconds later.
-func TestLoadsAreKnownAtOnce(t *testing.T) {
+// TestLoadsPropagateImmediately starts requests at one daemon. All others must receive each within a few
+// milliseconds.
+func TestLoadsPropagateImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(7, 20)
 		defer fleet.stop()
@@ -167,14 +166,14 @@
 			fleet.daemons[3].tickets = append(fleet.daemons[3].tickets, fleet.daemons[3].pool.Pick(time.Now(), backendpool.Query{Service: "s"}))
 			time.Sleep(peerlinktest.Delay)
 			synctest.Wait()
-			fleet.expectSums(t)
+			fleet.checkLoads(t)
 		}
 	})
 }
 
-// TestLostHomeCostsLittle stops a home of a back end: who asks waits for it once, and is
-// told by the other home then.
-func TestLostHomeCostsLittle(t *testing.T) {
+// TestUnreachableHomeDelaysOnce stops a home of a back end. A querying daemon may wait for it once, and must use
+// the other home from then on.
+func TestUnreachableHomeDelaysOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(7, 20)
 		defer fleet.stop()
@@ -189,7 +188,7 @@
 		for _, each := range fleet.daemons {
 			each.SetDown(each.Address() == homes[0])
 		}
-		for round, longest := range []time.Duration{firstNearTimeout, 2 * peerlinktest.Delay, 2 * peerlinktest.Delay} {
+		for round, longest := range []time.Duration{initialSameRegionTimeout, 2 * peerlinktest.Delay, 2 * peerlinktest.Delay} {
 			began := time.Now()
 			asking.homes.Refresh(t.Context(), []uint64{key})
 			assert.Assert(t, time.Since(began) <= longest, "round %d took %v", round, time.Since(began))
@@ -197,8 +196,9 @@
 	})
 }
 
-// TestFewDaemonsNeedNoHomes tells all of all loads while that is little.
-func TestFewDaemonsNeedNoHomes(t *testing.T) {
+// TestHomesNeededOnlyInLargeFleets checks that homes are used only above the fleet size up to which loads are
+// broadcast.
+func TestHomesNeededOnlyInLargeFleets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		few, many := newFleet(1, 13), newFleet(1, 14)
 		defer few.stop()
@@ -208,9 +208,8 @@
 	})
 }
 
-// BenchmarkHomes measures a choice's question among 295 daemons before 240 back ends, as far
-// as the asking daemon goes. It takes 4.5 us once the homes are
-// remembered, and 39 us without.
+// BenchmarkHomes measures the lookup of the homes to query for one selection, among 295 daemons and 240 back ends.
+// It takes 4.5 us with cached homes and 39 us without.
 func BenchmarkHomes(b *testing.B) {
 	network := peerlinktest.NewNetwork(1)
 	var others []string
@@ -220,7 +219,7 @@
 	homes := New(Options{Link: network.Add("10.9.0.1:1"), Others: func() []string { return others }, Pool: backendpool.New("a"), Presence: presence.New()})
 	for number := range b.N {
 		for sampled := range uint64(6) {
-			homes.asked(time.Now(), (uint64(number)+sampled)%240)
+			homes.respondingHome(time.Now(), (uint64(number)+sampled)%240)
 		}
 	}
 }
--- a/internal/loadhome/parts_test.go
+++ b/internal/loadhome/parts_test.go
@@ -13,9 +13,10 @@
 	"github.com/lotusward/lotusward/internal/loadshare"
 )
 
-// TestPartsAreFoundAtTheirHomes has each daemon of a large fleet send some parts to back ends: whoever asks for one learns
-// where it is, and what each daemon sends and hears goes by its own parts alone, not by the fleet.
-func TestPartsAreFoundAtTheirHomes(t *testing.T) {
+// TestPartsAreFoundThroughHomes has each daemon of a large fleet send some prompt parts to back ends. Any daemon
+// that asks for a part must learn its location, and the number of datagrams must be proportional to the parts, not
+// to the fleet size.
+func TestPartsAreFoundThroughHomes(t *testing.T) {
 	for _, count := range []int{loadshare.MaxPartPeers + 10, 300} {
 		synctest.Test(t, func(t *testing.T) {
 			sent := 0
@@ -33,7 +34,7 @@
 				}
 			}
 			time.Sleep(50 * time.Millisecond)
-			assert.Assert(t, sent <= count*each*homesEach, "%d datagrams", sent)
+			assert.Assert(t, sent <= count*each*homesPerKey, "%d datagrams", sent)
 			for number := range fleet.daemons {
 				asking := fleet.daemons[(number+count/2)%count]
 				key := fact(number, number%each).Part
--- a/internal/loadhome/regions.go
+++ b/internal/loadhome/regions.go
@@ -8,7 +8,7 @@
 	"github.com/lotusward/lotusward/internal/peerlink"
 )
 
-// zone is a daemon's zone; empty is unknown.
+// zone returns the zone of a daemon, or an empty string if unknown.
 func (h *Homes) zone(address string) identity.Zone {
 	switch {
 	case address == h.self:
@@ -20,15 +20,15 @@
 	}
 }
 
-// region is a daemon's region; empty is unknown.
+// region returns the region of a daemon, or an empty string if unknown.
 func (h *Homes) region(address string) identity.Region {
 	return h.options.Distances.Region(h.zone(address))
 }
 
-// near are the daemons among which a back end has its homes, by the hash of its ID: those of its
-// region, or all where there are none. It returns false where that may change with the list of
-// back ends.
-func (h *Homes) near(grouped *peerlink.Grouping, key uint64) ([]string, bool) {
+// candidateDaemons returns the daemons eligible as homes of a back end, given the hash of its ID: those in its
+// region, or all if there are none. The result is false if it may change with the list of back ends, so that it
+// must not be cached.
+func (h *Homes) candidateDaemons(grouped *peerlink.Grouping, key uint64) ([]string, bool) {
 	if !h.options.Distances.HasSeveralRegions() {
 		return grouped.All, true
 	}
@@ -39,33 +39,33 @@
 	return grouped.All, listed
 }
 
-// isOwnZone tells whether a daemon is surely in this one's zone, so that its answers tell nothing of the way between
-// zones.
+// isOwnZone reports whether a daemon is known to be in this daemon's zone. Its answers say nothing about the
+// latency between zones.
 func (h *Homes) isOwnZone(address string) bool {
 	return h.options.OwnZone != "" && h.zone(address) == h.options.OwnZone
 }
 
-// isFar tells whether a daemon is in another region.
-func (h *Homes) isFar(address string) bool {
+// isOtherRegion reports whether a daemon is in another region.
+func (h *Homes) isOtherRegion(address string) bool {
 	return h.options.Distances.Between(h.options.OwnZone, h.zone(address)) == distance.OtherRegion
 }
 
-// timeout is how long the answers of homes are waited for.
+// timeout returns how long to wait for the answers of the given homes.
 func (h *Homes) timeout(byHome map[string][]uint64) time.Duration {
 	for home := range byHome {
-		if h.isFar(home) {
-			return h.farTimeout.timeout()
+		if h.isOtherRegion(home) {
+			return h.otherRegionRTT.timeout()
 		}
 	}
-	return h.nearTimeout.timeout()
+	return h.sameRegionRTT.timeout()
 }
 
-// answered notes how long a home took to answer.
-func (h *Homes) answered(home string, took time.Duration) {
+// recordRoundTrip records how long a home took to answer.
+func (h *Homes) recordRoundTrip(home string, took time.Duration) {
 	switch {
-	case h.isFar(home):
-		h.farTimeout.note(took)
+	case h.isOtherRegion(home):
+		h.otherRegionRTT.record(took)
 	case !h.isOwnZone(home):
-		h.nearTimeout.note(took)
+		h.sameRegionRTT.record(took)
 	}
 }
--- a/internal/loadhome/regions_test.go
+++ b/internal/loadhome/regions_test.go
@@ -17,19 +17,19 @@
 	"github.com/lotusward/lotusward/internal/presence"
 )
 
-// farWay is how much longer a datagram takes to another region, one way.
-const farWay = 20 * time.Millisecond
+// crossRegionDelay is the additional one-way delay of a datagram to another region.
+const crossRegionDelay = 20 * time.Millisecond
 
-// spread is daemons and back ends over some regions.
-type spread struct {
+// regionFleet describes daemons and back ends that are distributed over several regions.
+type regionFleet struct {
 	distances distance.Map
 	zones     map[string]identity.Zone
 	addresses []string
 	list      []backendpool.Backend
 }
 
-func newSpread(regions, daemons, backends int) *spread {
-	made := &spread{zones: map[string]identity.Zone{}}
+func newRegionFleet(regions, daemons, backends int) *regionFleet {
+	made := &regionFleet{zones: map[string]identity.Zone{}}
 	byZone := map[identity.Zone]identity.Region{}
 	zone := func(number int) identity.Zone { return identity.Zone(fmt.Sprint("zone-", number%regions)) }
 	for region := range regions {
@@ -47,22 +47,22 @@
 	return made
 }
 
-// wayCarrier takes longer to another region.
-type wayCarrier struct {
+// regionCarrier delays datagrams to other regions by crossRegionDelay.
+type regionCarrier struct {
 	*peerlinktest.Node
-	spread *spread
+	fleet *regionFleet
 }
 
-func (c wayCarrier) Send(to string, datagram []byte) {
-	if c.spread.distances.Between(c.spread.zones[c.Address()], c.spread.zones[to]) == distance.OtherRegion {
-		time.AfterFunc(farWay, func() { c.Node.Send(to, datagram) })
+func (c regionCarrier) Send(to string, datagram []byte) {
+	if c.fleet.distances.Between(c.fleet.zones[c.Address()], c.fleet.zones[to]) == distance.OtherRegion {
+		time.AfterFunc(crossRegionDelay, func() { c.Node.Send(to, datagram) })
 		return
 	}
 	c.Node.Send(to, datagram)
 }
 
-// homes makes the Homes of one daemon.
-func (s *spread) homes(network *peerlinktest.Network, number int) *Homes {
+// homes creates the Homes of one daemon.
+func (s *regionFleet) homes(network *peerlinktest.Network, number int) *Homes {
 	self := s.addresses[number]
 	var others []string
 	for _, address := range s.addresses {
@@ -74,17 +74,17 @@
 	pool.SetDistances(s.distances)
 	pool.Update(s.list)
 	return New(Options{
-		Link: wayCarrier{Node: network.Add(self), spread: s}, Others: func() []string { return others }, Pool: pool, Presence: presence.New(),
+		Link: regionCarrier{Node: network.Add(self), fleet: s}, Others: func() []string { return others }, Pool: pool, Presence: presence.New(),
 		Zone: func(address string) identity.Zone { return s.zones[address] }, OwnZone: s.zones[self], Distances: s.distances,
 	})
 }
 
-// TestHomesAreInTheBackEndsRegion lets all daemons of 1, 2 and 6 regions say where back ends
-// have their homes: all agree, and the homes are in the back end's region.
-func TestHomesAreInTheBackEndsRegion(t *testing.T) {
+// TestHomesAreInBackendRegion checks, in fleets of 1, 2 and 6 regions, that all daemons agree on the homes of each
+// back end and that the homes are in the back end's region.
+func TestHomesAreInBackendRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "regions")
-		made := newSpread(regions, rapid.IntRange(regions, 24).Draw(t, "daemons"), 8)
+		made := newRegionFleet(regions, rapid.IntRange(regions, 24).Draw(t, "daemons"), 8)
 		network := peerlinktest.NewNetwork(1)
 		agreed := map[uint64][]string{}
 		for number := range made.addresses {
@@ -104,20 +104,21 @@
 	})
 }
 
-// TestRegionWithoutDaemonsHasHomesElsewhere gives its back ends homes among all.
-func TestRegionWithoutDaemonsHasHomesElsewhere(t *testing.T) {
-	made := newSpread(2, 20, 2)
+// TestRegionWithoutDaemonsUsesAllDaemons checks that back ends of a region without daemons have homes among all
+// daemons.
+func TestRegionWithoutDaemonsUsesAllDaemons(t *testing.T) {
+	made := newRegionFleet(2, 20, 2)
 	for address := range made.zones {
 		made.zones[address] = "zone-0"
 	}
 	homes := made.homes(peerlinktest.NewNetwork(1), 0)
-	assert.Equal(t, len(homes.homes(rendezvous.Key(string(backendID(1))))), homesEach)
+	assert.Equal(t, len(homes.homes(rendezvous.Key(string(backendID(1))))), homesPerKey)
 }
 
-// TestBackEndThatIsListedLaterMovesHome looks again for the homes of one that was asked for
-// before it was listed.
-func TestBackEndThatIsListedLaterMovesHome(t *testing.T) {
-	made := newSpread(2, 20, 2)
+// TestHomesMoveWhenBackendIsListed looks up the homes of a back end before it is listed. Once it is listed, they
+// must be in its region: the earlier result must not be cached.
+func TestHomesMoveWhenBackendIsListed(t *testing.T) {
+	made := newRegionFleet(2, 20, 2)
 	list := made.list
 	made.list = nil
 	homes := made.homes(peerlinktest.NewNetwork(1), 0)
@@ -129,11 +130,11 @@
 	}
 }
 
-// TestAnswersFromAnotherRegionAreWaitedFor begins a request in another region: a daemon that
-// asks is told of it, 44 ms away, and its own region's homes answer in 4 ms.
-func TestAnswersFromAnotherRegionAreWaitedFor(t *testing.T) {
+// TestOtherRegionAnswersAreAwaited starts a request in each of two regions. A daemon must receive the load of the
+// other region within a round trip of 44 ms, and that of its own region within 4 ms.
+func TestOtherRegionAnswersAreAwaited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		made := newSpread(2, 20, 2)
+		made := newRegionFleet(2, 20, 2)
 		network := peerlinktest.NewNetwork(1)
 		var all []*Homes
 		for number := range made.addresses {
@@ -142,11 +143,11 @@
 		for _, number := range []int{0, 1} {
 			sender := all[number+2] // of the back end's region
 			sender.options.Pool.Pick(time.Now(), backendpool.Query{Service: "s", Region: made.distances.Region(made.zones[sender.self])})
-			sender.noteAll(sender.options.Pool.ChangedLoads())
+			sender.sendLoads(sender.options.Pool.ChangedLoads())
 		}
 		time.Sleep(time.Second)
 		asking := all[4]
-		for backend, longest := range map[int]time.Duration{0: 2 * peerlinktest.Delay, 1: 2 * (peerlinktest.Delay + farWay)} {
+		for backend, longest := range map[int]time.Duration{0: 2 * peerlinktest.Delay, 1: 2 * (peerlinktest.Delay + crossRegionDelay)} {
 			began := time.Now()
 			asking.Refresh(t.Context(), []uint64{rendezvous.Key(string(backendID(backend)))})
 			assert.Assert(t, time.Since(began) <= longest, "back end %d took %v", backend, time.Since(began))
@@ -155,28 +156,27 @@
 	})
 }
 
-// TestFarTimeoutFollowsTheRoundTrip learns round trips: answers that take about as long as the
-// last ones are waited for, and one that never comes not for much longer.
-func TestFarTimeoutFollowsTheRoundTrip(t *testing.T) {
+// TestOtherRegionTimeoutFollowsRTT records round trips with jitter. The timeout must cover answers that take about
+// as long as the last ones, and must not be much longer than that.
+func TestOtherRegionTimeoutFollowsRTT(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var learned roundTrip
-		assert.Equal(t, learned.timeout(), firstFarTimeout)
+		var learned rttEstimator
+		assert.Equal(t, learned.timeout(), initialOtherRegionTimeout)
 		usual := time.Duration(rapid.IntRange(8, 100).Draw(t, "milliseconds")) * time.Millisecond
 		for range 60 {
 			jitter := time.Duration(rapid.IntRange(-10, 10).Draw(t, "jitter")) * usual / 100
-			learned.note(usual + jitter)
+			learned.record(usual + jitter)
 		}
 		found := learned.timeout()
-		assert.Assert(t, found >= usual*9/10+leastMargin, "%v of %v", found, usual)
-		assert.Assert(t, found <= max(2*usual, leastFarTimeout), "%v of %v", found, usual)
+		assert.Assert(t, found >= usual*9/10+minMargin, "%v of %v", found, usual)
+		assert.Assert(t, found <= max(2*usual, minOtherRegionTimeout), "%v of %v", found, usual)
 	})
 }
 
-// BenchmarkHomesOfRegions measures a choice's question among 340 daemons of 6 regions before
-// 240 back ends once the homes are remembered. It takes 0.55 us, as with homes anywhere
-// (BenchmarkHomes, 0.58 us).
-func BenchmarkHomesOfRegions(b *testing.B) {
-	made := newSpread(6, 340, 240)
+// BenchmarkHomesAcrossRegions measures the lookup of the homes to query for one selection among 340 daemons of 6
+// regions and 240 back ends, with cached homes. It takes 0.55 us, as without regions (BenchmarkHomes, 0.58 us).
+func BenchmarkHomesAcrossRegions(b *testing.B) {
+	made := newRegionFleet(6, 340, 240)
 	homes := made.homes(peerlinktest.NewNetwork(1), 0)
 	var keys []uint64
 	for _, backend := range made.list {
@@ -185,7 +185,7 @@
 	number := 0
 	for b.Loop() {
 		for sampled := range 6 {
-			homes.asked(time.Now(), keys[(number+sampled)%240])
+			homes.respondingHome(time.Now(), keys[(number+sampled)%240])
 		}
 		number++
 	}
--- a/internal/loadhome/roundtrip.go
+++ b/internal/loadhome/roundtrip.go
@@ -6,56 +6,55 @@
 )
 
 const (
-	// firstFarTimeout is how long an answer from another region is waited for before one was
-	// heard, and leastFarTimeout and mostFarTimeout bound it after that. A request that waits
-	// for answers has some hundred milliseconds left.
-	firstFarTimeout = 100 * time.Millisecond
-	leastFarTimeout = 15 * time.Millisecond
-	mostFarTimeout  = 150 * time.Millisecond
-	// firstNearTimeout, leastNearTimeout and mostNearTimeout are the same for answers from the own region: zones may be a
-	// tenth of a millisecond apart, or six. Where all answers came later than they were waited for, each request would wait
-	// for nothing, and know nothing of others' loads.
-	firstNearTimeout = 30 * time.Millisecond
-	leastNearTimeout = 10 * time.Millisecond
-	mostNearTimeout  = 50 * time.Millisecond
-	// newestWeight and deviationWeight are of the newest round trip in the mean and in the
-	// mean deviation, and deviations how many of these an answer may take beyond the mean, as
-	// in RFC 6298.
-	newestWeight    = 0.125
-	deviationWeight = 0.25
-	deviations      = 4
-	// lateFactor raises the mean deviation where no answer came in time: five in a row reach
-	// the bound.
-	lateFactor = 2
-	// leastMargin is the least time beyond the mean.
-	leastMargin = 5 * time.Millisecond
+	// initialOtherRegionTimeout is the timeout for answers from another region before any was received. Later
+	// timeouts stay between minOtherRegionTimeout and maxOtherRegionTimeout, because a waiting request has only
+	// some hundred milliseconds left.
+	initialOtherRegionTimeout = 100 * time.Millisecond
+	minOtherRegionTimeout     = 15 * time.Millisecond
+	maxOtherRegionTimeout     = 150 * time.Millisecond
+	// initialSameRegionTimeout, minSameRegionTimeout and maxSameRegionTimeout are the same for answers from this
+	// region, whose zones may be 0.1 ms or 6 ms apart. If every answer missed its timeout, each request would wait
+	// in vain and know none of the other daemons' loads.
+	initialSameRegionTimeout = 30 * time.Millisecond
+	minSameRegionTimeout     = 10 * time.Millisecond
+	maxSameRegionTimeout     = 50 * time.Millisecond
+	// meanWeight and deviationWeight are the weights of the newest round trip in the moving averages of round
+	// trips and of their deviations. An answer may take deviationMultiplier mean deviations longer than the mean,
+	// as in RFC 6298.
+	meanWeight          = 0.125
+	deviationWeight     = 0.25
+	deviationMultiplier = 4
+	// timeoutFactor multiplies the mean deviation after a timeout: five in a row reach the upper bound.
+	timeoutFactor = 2
+	// minMargin is the minimum by which the timeout exceeds the mean.
+	minMargin = 5 * time.Millisecond
 )
 
-// tripBounds bound how long answers are waited for.
-type tripBounds struct{ first, least, most time.Duration }
+// timeoutBounds holds the initial timeout and the range of later ones.
+type timeoutBounds struct{ initial, minimum, maximum time.Duration }
 
 var (
-	nearBounds = tripBounds{first: firstNearTimeout, least: leastNearTimeout, most: mostNearTimeout}
-	farBounds  = tripBounds{first: firstFarTimeout, least: leastFarTimeout, most: mostFarTimeout}
+	sameRegionBounds  = timeoutBounds{initial: initialSameRegionTimeout, minimum: minSameRegionTimeout, maximum: maxSameRegionTimeout}
+	otherRegionBounds = timeoutBounds{initial: initialOtherRegionTimeout, minimum: minOtherRegionTimeout, maximum: maxOtherRegionTimeout}
 )
 
-// roundTrip learns how long answers take. It is safe for use by several goroutines.
-type roundTrip struct {
-	// near is set for answers from the own region.
-	near            bool
+// rttEstimator estimates round-trip times and derives timeouts from them. It is safe for concurrent use.
+type rttEstimator struct {
+	// sameRegion is set if the answers come from this daemon's region.
+	sameRegion      bool
 	mutex           sync.Mutex
 	mean, deviation time.Duration
 }
 
-func (r *roundTrip) bounds() tripBounds {
-	if r.near {
-		return nearBounds
+func (r *rttEstimator) bounds() timeoutBounds {
+	if r.sameRegion {
+		return sameRegionBounds
 	}
-	return farBounds
+	return otherRegionBounds
 }
 
-// note takes in how long an answer took.
-func (r *roundTrip) note(took time.Duration) {
+// record adds a measured round trip.
+func (r *rttEstimator) record(took time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.mean == 0 {
@@ -63,26 +62,26 @@
 		return
 	}
 	r.deviation += time.Duration(deviationWeight * float64((took-r.mean).Abs()-r.deviation))
-	r.mean += time.Duration(newestWeight * float64(took-r.mean))
+	r.mean += time.Duration(meanWeight * float64(took-r.mean))
 }
 
-// late takes in that no answer came in time. A longer way would never be learned otherwise, since
-// answers that nobody waits for are dropped.
-func (r *roundTrip) late() {
+// recordTimeout widens the timeout after an answer did not arrive in time. Late answers are dropped unmeasured, so
+// an increased latency would never be learned otherwise.
+func (r *rttEstimator) recordTimeout() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.mean > 0 {
-		r.deviation = min(lateFactor*max(r.deviation, leastMargin/deviations), r.bounds().most/deviations)
+		r.deviation = min(timeoutFactor*max(r.deviation, minMargin/deviationMultiplier), r.bounds().maximum/deviationMultiplier)
 	}
 }
 
-// timeout is how long an answer is waited for.
-func (r *roundTrip) timeout() time.Duration {
+// timeout returns how long to wait for an answer.
+func (r *rttEstimator) timeout() time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	bounds := r.bounds()
 	if r.mean == 0 {
-		return bounds.first
+		return bounds.initial
 	}
-	return min(max(r.mean+max(deviations*r.deviation, leastMargin), bounds.least), bounds.most)
+	return min(max(r.mean+max(deviationMultiplier*r.deviation, minMargin), bounds.minimum), bounds.maximum)
 }
--- a/internal/loadhome/roundtrip_test.go
+++ b/internal/loadhome/roundtrip_test.go
@@ -13,51 +13,52 @@
 	"github.com/lotusward/lotusward/internal/core/rendezvous"
 )
 
-// TestLongerWayIsLearned lets the way to another region become longer, up to what may be waited for.
-// Answers that come too late are not noted: after some of them the wait is long enough, and after
-// answers in time it is about as short as the way again.
-func TestLongerWayIsLearned(t *testing.T) {
+// TestTimeoutAdaptsToLongerRTT increases the round-trip time to another region, up to the longest permitted
+// timeout. Late answers are not measured. After a few of them the timeout must be long enough, and after timely
+// answers it must shrink to about the round-trip time again.
+func TestTimeoutAdaptsToLongerRTT(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before := time.Duration(rapid.IntRange(5, 40).Draw(t, "before")) * time.Millisecond
 		after := before + time.Duration(rapid.IntRange(0, 100).Draw(t, "longer"))*time.Millisecond
-		var learned roundTrip
+		var learned rttEstimator
 		for range 100 {
-			learned.note(before)
+			learned.record(before)
 		}
 		late := 0
 		for range 100 {
 			if after > learned.timeout() {
 				late++
-				learned.late()
+				learned.recordTimeout()
 				continue
 			}
-			learned.note(after)
+			learned.record(after)
 		}
 		assert.Assert(t, late <= 8, "%d answers were late", late)
-		assert.Assert(t, learned.timeout() >= after && learned.timeout() <= max(after+after/2, leastFarTimeout), "%v", learned.timeout())
+		assert.Assert(t, learned.timeout() >= after && learned.timeout() <= max(after+after/2, minOtherRegionTimeout), "%v", learned.timeout())
 	})
 }
 
-// TestLostAnswersRaiseTheWaitWithinItsBound loses answers only: before any was heard the wait stays as
-// it is.
-func TestLostAnswersRaiseTheWaitWithinItsBound(t *testing.T) {
-	var unknown, learned roundTrip
-	learned.note(40 * time.Millisecond)
+// TestTimeoutsRaiseWaitWithinBound loses every answer. The timeout must stop at its upper bound, and must keep its
+// initial value if no answer was ever received.
+func TestTimeoutsRaiseWaitWithinBound(t *testing.T) {
+	var unknown, learned rttEstimator
+	learned.record(40 * time.Millisecond)
 	for range 1000 {
-		unknown.late()
-		learned.late()
+		unknown.recordTimeout()
+		learned.recordTimeout()
 	}
-	assert.Equal(t, unknown.timeout(), firstFarTimeout)
-	assert.Equal(t, learned.timeout(), mostFarTimeout)
+	assert.Equal(t, unknown.timeout(), initialOtherRegionTimeout)
+	assert.Equal(t, learned.timeout(), maxOtherRegionTimeout)
 	for range 50 {
-		learned.note(40 * time.Millisecond)
+		learned.record(40 * time.Millisecond)
 	}
 	assert.Assert(t, learned.timeout() < 60*time.Millisecond, "%v", learned.timeout())
 }
 
-// TestAnswersOfDistantZonesAreHeard has daemons in zones that are up to 8 ms apart, one way: soon each knows what all have
-// under way. Waiting 10 ms for answers that take 11, it knew nothing of two thirds of the back ends, and waited each time.
-func TestAnswersOfDistantZonesAreHeard(t *testing.T) {
+// TestAnswersFromDistantZonesArrive places daemons in zones with a one-way delay of up to 8 ms. Each daemon must
+// soon receive all loads. With a fixed timeout of 10 ms and answers that took 11 ms, a daemon knew nothing of two
+// thirds of the back ends and waited in vain for each request.
+func TestAnswersFromDistantZonesArrive(t *testing.T) {
 	for _, way := range []time.Duration{100 * time.Microsecond, 5400 * time.Microsecond, 8 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			fleet := newFleet(1, 30)
@@ -68,7 +69,7 @@
 				each.tickets = append(each.tickets, each.pool.Pick(time.Now(), backendpool.Query{Service: "s"}))
 			}
 			time.Sleep(2 * time.Second)
-			fleet.expectSums(t)
+			fleet.checkLoads(t)
 			asking := fleet.daemons[0]
 			began := time.Now()
 			asking.homes.Refresh(context.Background(), []uint64{rendezvous.Key(string(backendID(0)))})
