--- a/internal/sharedlimit/backend_test.go
+++ b/internal/sharedlimit/backend_test.go
@@ -12,22 +12,25 @@
 )
 
 const (
-	// backendWindow is any time in which a back end gets no more than backendFactor times its limit, and backendSlack requests.
+	// Within any backendWindow a back end may receive at most backendFactor times its limit plus backendSlack
+	// requests.
 	backendWindow = 4 * time.Second
 	backendFactor = 1.5
 	backendSlack  = 5
-	// backendCost is the cost of a request, beside which the margin of tenants is nothing.
+	// backendCost is the cost of a request. It is so large that the margin of tenants, which is in tokens, has no
+	// effect.
 	backendCost = 1e9
 )
 
-// backendLimit is a limit of a number of requests a second, with a burst of two requests.
+// backendLimit returns a limit in requests per second with a burst of two requests or a quarter of a second,
+// whichever is larger.
 func backendLimit(version uint64, perSecond float64) quota.Limit {
 	return quota.Limit{Version: version, RatePerSecond: perSecond * backendCost, Burst: max(2, perSecond/4) * backendCost}
 }
 
-// TestBackendLimitHoldsUnderFaults asks for many times the limit of a back end at all daemons, while these are killed,
-// frozen, suspended, cut off from the others, started in herds and added: in no window more requests are granted than the
-// bound allows, whichever daemons grant.
+// TestBackendLimitHoldsUnderFaults requests many times the limit of a back end at all daemons while daemons are
+// killed, frozen, suspended, partitioned, restarted all at once or added. No window may exceed the bound,
+// whichever daemons grant.
 func TestBackendLimitHoldsUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
@@ -38,10 +41,10 @@
 		most := 0.0
 		synctest.Test(t, func(*testing.T) {
 			fleet := newFleet(seed, count)
-			fleet.play(15*time.Second, faults, func() {
-				fleet.request(fleet.daemons[fleet.luck.IntN(len(fleet.daemons))], owner, backendLimit(1, perSecond), backendCost)
+			fleet.runWithFaults(15*time.Second, faults, func() {
+				fleet.request(fleet.daemons[fleet.rng.IntN(len(fleet.daemons))], owner, backendLimit(1, perSecond), backendCost)
 			})
-			most = fleet.mostGranted(owner, backendWindow) / backendCost
+			most = fleet.maxGranted(owner, backendWindow) / backendCost
 		})
 		if allowed := backendFactor*perSecond*backendWindow.Seconds() + backendSlack; most > allowed {
 			rt.Fatalf("%v requests were granted in %s, %v are allowed", most, backendWindow, allowed)
@@ -49,24 +52,25 @@
 	})
 }
 
-// play has something done each 20 ms for a time while faults begin and end.
-func (f *fleet) play(length time.Duration, faults []fault, step func()) {
-	troubles := schedule{fleet: f, faults: faults}
+// runWithFaults calls step every 20 ms for the given time while faults start and end.
+func (f *fleet) runWithFaults(length time.Duration, faults []fault, step func()) {
+	injector := faultSchedule{fleet: f, faults: faults}
 	for began, round := time.Now(), 0; time.Since(began) < length; round++ {
 		if round%10 == 0 {
-			f.tellAll()
+			f.exchangePresence()
 		}
-		troubles.advance(time.Since(began))
+		injector.advance(time.Since(began))
 		step()
 		time.Sleep(20 * time.Millisecond)
 	}
-	troubles.end()
+	injector.end()
 	settle()
 }
 
-// TestChangedBackendLimitHoldsAtOnce names 20, then 0.5, and then 6 requests a second: each holds from when it is asked for
-// with its version, and an asker that knows only an earlier one changes nothing.
-func TestChangedBackendLimitHoldsAtOnce(t *testing.T) {
+// TestChangedBackendLimitAppliesImmediately changes the limit from 20 to 0.5 to 6 requests per second. Each
+// version must apply from the first request that carries it, and requests with an older version must not revert
+// it.
+func TestChangedBackendLimitAppliesImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet, owner := newFleet(7, 5), quota.OwnerOfBackend("i-1")
 		granted := func(versions ...quota.Limit) float64 {
@@ -88,8 +92,9 @@
 	})
 }
 
-// TestCutOffDaemonsOverdrawNoBackendLimit cuts all daemons off from each other: each sends its equal part alone.
-func TestCutOffDaemonsOverdrawNoBackendLimit(t *testing.T) {
+// TestBackendLimitHoldsWithoutPeers isolates all daemons from each other. The equal shares that they use alone
+// must not exceed the bound in total.
+func TestBackendLimitHoldsWithoutPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet, owner := newFleet(9, 40), quota.OwnerOfBackend("i-1")
 		fleet.network.Lose(1)
@@ -101,7 +106,7 @@
 			time.Sleep(time.Second)
 		}
 		settle()
-		most := fleet.mostGranted(owner, backendWindow) / backendCost
+		most := fleet.maxGranted(owner, backendWindow) / backendCost
 		assert.Assert(t, most <= backendFactor*backendWindow.Seconds()+backendSlack, "%v", most)
 	})
 }
--- a/internal/sharedlimit/fleet_test.go
+++ b/internal/sharedlimit/fleet_test.go
@@ -19,45 +19,43 @@
 	"github.com/lotusward/lotusward/internal/presence"
 )
 
-// fleet is some daemons with a network that loses and cuts what a test says, in the time of
-// a synctest bubble.
+// fleet is a set of daemons on a simulated network with injected faults, in the time of a synctest bubble.
 type fleet struct {
 	network *peerlinktest.Network
-	luck    *rand.Rand
+	rng     *rand.Rand
 	mutex   sync.Mutex
-	daemons []*member
-	// region is the region of a daemon; nil is one for all.
+	daemons []*testDaemon
+	// region returns the region of a daemon; nil means one region for all.
 	region  func(address string) identity.Region
-	granted map[quota.Owner][]grantedUse
+	granted map[quota.Owner][]grantRecord
 	refused map[quota.Owner]float64
-	// standsStill makes the machines' clocks stand still while they are suspended, as Go's
-	// own clock does.
-	standsStill bool
-	asked       map[quota.Owner]float64
+	// clocksPauseOnSuspend stops the clocks of suspended machines, as Go's monotonic clock does.
+	clocksPauseOnSuspend bool
+	asked                map[quota.Owner]float64
 }
 
-type grantedUse struct {
+type grantRecord struct {
 	at   time.Time
 	cost float64
 }
 
-// member is one daemon of a fleet.
-type member struct {
+// testDaemon is one daemon of a fleet.
+type testDaemon struct {
 	*peerlinktest.Node
 	fleet   *fleet
 	limiter *Limiter
-	// suspendedAt is when the machine was suspended, zero while it isn't, and suspended how
-	// long it was before.
+	// suspendedAt is when the machine was suspended, or zero if it is running, and suspended the total length of
+	// earlier suspensions.
 	suspendedAt time.Time
 	suspended   time.Duration
 }
 
-// now is the machine's clock.
-func (m *member) now() time.Time {
+// now returns the time of the machine's clock.
+func (m *testDaemon) now() time.Time {
 	m.fleet.mutex.Lock()
 	defer m.fleet.mutex.Unlock()
 	now := time.Now()
-	if !m.fleet.standsStill {
+	if !m.fleet.clocksPauseOnSuspend {
 		return now
 	}
 	if !m.suspendedAt.IsZero() {
@@ -66,8 +64,8 @@
 	return now.Add(-m.suspended)
 }
 
-// suspend suspends the machine, and resume ends that.
-func (m *member) suspend() {
+// suspend suspends the machine until resume is called.
+func (m *testDaemon) suspend() {
 	m.fleet.mutex.Lock()
 	if m.suspendedAt.IsZero() {
 		m.suspendedAt = time.Now()
@@ -76,7 +74,7 @@
 	m.Freeze()
 }
 
-func (m *member) resume() {
+func (m *testDaemon) resume() {
 	m.fleet.mutex.Lock()
 	if !m.suspendedAt.IsZero() {
 		m.suspended += time.Since(m.suspendedAt)
@@ -88,8 +86,8 @@
 
 func newFleet(seed uint64, count int) *fleet {
 	made := &fleet{
-		network: peerlinktest.NewNetwork(seed), luck: rand.New(rand.NewPCG(seed, 1)),
-		granted: map[quota.Owner][]grantedUse{}, refused: map[quota.Owner]float64{}, asked: map[quota.Owner]float64{},
+		network: peerlinktest.NewNetwork(seed), rng: rand.New(rand.NewPCG(seed, 1)),
+		granted: map[quota.Owner][]grantRecord{}, refused: map[quota.Owner]float64{}, asked: map[quota.Owner]float64{},
 	}
 	for range count {
 		made.add()
@@ -97,17 +95,17 @@
 	return made
 }
 
-// add adds a daemon, which all know at once.
+// add adds a daemon that all others know immediately.
 func (f *fleet) add() {
 	f.mutex.Lock()
-	joined := &member{fleet: f, Node: f.network.Add(fmt.Sprintf("10.0.0.%d:1", len(f.daemons)))}
+	joined := &testDaemon{fleet: f, Node: f.network.Add(fmt.Sprintf("10.0.0.%d:1", len(f.daemons)))}
 	f.daemons = append(f.daemons, joined)
 	f.mutex.Unlock()
 	joined.start()
 }
 
-// start gives the daemon the state that it has after a restart: none.
-func (m *member) start() {
+// start initialises the daemon with empty state, as after a restart.
+func (m *testDaemon) start() {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	heard := presence.New()
@@ -120,7 +118,7 @@
 	m.limiter = limiter
 }
 
-func (m *member) others() []string {
+func (m *testDaemon) others() []string {
 	m.fleet.mutex.Lock()
 	defer m.fleet.mutex.Unlock()
 	var addresses []string
@@ -132,8 +130,8 @@
 	return addresses
 }
 
-// tellAll is what makes daemons hear each other while they have nothing to ask.
-func (f *fleet) tellAll() {
+// exchangePresence makes all daemons hear each other without questions.
+func (f *fleet) exchangePresence() {
 	f.mutex.Lock()
 	daemons := slices.Clone(f.daemons)
 	f.mutex.Unlock()
@@ -146,8 +144,8 @@
 	}
 }
 
-// request asks for a tenant's limit at a daemon, and keeps account.
-func (f *fleet) request(at *member, tenant quota.Owner, limit quota.Limit, cost float64) {
+// request requests a cost from a tenant's limit at a daemon and records the outcome.
+func (f *fleet) request(at *testDaemon, tenant quota.Owner, limit quota.Limit, cost float64) {
 	if !at.Working() {
 		return
 	}
@@ -157,22 +155,22 @@
 	f.mutex.Unlock()
 	go func() {
 		grant := limiter.Take(context.Background(), tenant, limit, cost)
-		at.WhenAwake(func() { f.account(tenant, grant.Granted, cost) })
+		at.WhenAwake(func() { f.recordOutcome(tenant, grant.Granted, cost) })
 	}()
 }
 
-func (f *fleet) account(tenant quota.Owner, granted bool, cost float64) {
+func (f *fleet) recordOutcome(tenant quota.Owner, granted bool, cost float64) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if granted {
-		f.granted[tenant] = append(f.granted[tenant], grantedUse{time.Now(), cost})
+		f.granted[tenant] = append(f.granted[tenant], grantRecord{time.Now(), cost})
 	} else {
 		f.refused[tenant] += cost
 	}
 }
 
-// mostGranted is the largest sum granted to a tenant in any window.
-func (f *fleet) mostGranted(tenant quota.Owner, window time.Duration) float64 {
+// maxGranted returns the largest total granted to a tenant within any window.
+func (f *fleet) maxGranted(tenant quota.Owner, window time.Duration) float64 {
 	uses := f.granted[tenant]
 	most, sum, first := 0.0, 0.0, 0
 	for _, use := range uses {
@@ -186,43 +184,43 @@
 	return most
 }
 
-// settle lets everything that is under way end.
+// settle waits until all pending work has ended.
 func settle() {
 	time.Sleep(time.Second)
 	synctest.Wait()
 }
 
-// byAddress returns a daemon.
-func (f *fleet) byAddress(address string) *member {
+// byAddress returns the daemon with an address.
+func (f *fleet) byAddress(address string) *testDaemon {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	index := slices.IndexFunc(f.daemons, func(daemon *member) bool { return daemon.Address() == address })
+	index := slices.IndexFunc(f.daemons, func(daemon *testDaemon) bool { return daemon.Address() == address })
 	return f.daemons[index]
 }
 
-// schedule begins faults at their times, and ends them after their lengths.
-type schedule struct {
-	fleet  *fleet
-	faults []fault
-	begun  map[int]bool
-	// endings are of the faults that have begun, in that order; a nil end has been called.
+// faultSchedule starts faults at their times and ends them after their lengths.
+type faultSchedule struct {
+	fleet   *fleet
+	faults  []fault
+	started map[int]bool
+	// endings holds the ends of the started faults in start order; end is nil once called.
 	endings []ending
 }
 
-// ending ends a fault at a time.
+// ending ends a fault at a given time.
 type ending struct {
 	at  time.Duration
 	end func()
 }
 
-// advance begins and ends what is due after a time.
-func (s *schedule) advance(elapsed time.Duration) {
-	if s.begun == nil {
-		s.begun = map[int]bool{}
+// advance starts and ends the faults that are due after the elapsed time.
+func (s *faultSchedule) advance(elapsed time.Duration) {
+	if s.started == nil {
+		s.started = map[int]bool{}
 	}
 	for index, trouble := range s.faults {
-		if !s.begun[index] && elapsed >= trouble.at {
-			s.begun[index] = true
+		if !s.started[index] && elapsed >= trouble.at {
+			s.started[index] = true
 			s.endings = append(s.endings, ending{elapsed + trouble.length, s.fleet.begin(trouble)})
 		}
 	}
@@ -234,8 +232,8 @@
 	}
 }
 
-// end ends the faults that are left.
-func (s *schedule) end() {
+// end ends the remaining faults.
+func (s *faultSchedule) end() {
 	for _, left := range s.endings {
 		if left.end != nil {
 			left.end()
--- a/internal/sharedlimit/limiter.go
+++ b/internal/sharedlimit/limiter.go
@@ -1,10 +1,11 @@
-// Package sharedlimit keeps limits that hold for all daemons together: those of tenants, and those that back ends name.
-// Each owner of a limit has a home among the daemons, by rendezvous hashing, which alone grants parts
-// of its limit; a daemon asks it, by one datagram there and back, before it lets a request
-// in. While the home doesn't answer, the next daemon in rank grants; a daemon that reaches
-// neither has its equal part of the limit. Rights to a part of a bound that are held by one
-// replica at a time, and asked for by the others, are the idea of the bounded counter
-// (Balegas, "Bounded Counters: maintaining numeric invariants with high availability").
+// Package sharedlimit enforces limits that hold for all daemons together: those of tenants and those announced by
+// back ends. Each owner of a limit has a home daemon, chosen by rendezvous hashing, which alone grants parts of
+// its limit. A daemon asks the home, with one datagram in each direction, before it admits a request. While the
+// home does not respond, the next daemon in rank grants. A daemon that reaches neither grants from its own equal
+// share of the limit.
+//
+// Rights to a part of a bound that one replica holds at a time and others ask for are the idea of the bounded
+// counter (Balegas, "Bounded Counters: maintaining numeric invariants with high availability").
 package sharedlimit
 
 import (
@@ -25,72 +26,71 @@
 )
 
 const (
-	// grantors is how many daemons are asked for an owner before a daemon takes its own
-	// part: the home, and the one that grants in its place.
-	grantors = 2
-	// repeatInterval is how often a question is sent again: a datagram is lost now and then,
-	// and with each daemon that takes a lost answer for a silent home two would grant at
-	// once. An answer takes two milliseconds between zones.
-	repeatInterval = 12 * time.Millisecond
-	// repeatFactor and answerFactor times the mean time of a region's answers are the least for
-	// the two below: regions are tens of milliseconds apart.
-	repeatFactor = 1.5
+	// grantorsPerOwner is how many daemons are asked before a daemon uses its own share: the home and its
+	// substitute.
+	grantorsPerOwner = 2
+	// retryInterval is how often a question is sent again. Datagrams are occasionally lost, and each daemon that
+	// mistakes a lost answer for a failed home makes home and substitute grant concurrently. An answer takes two
+	// milliseconds between zones.
+	retryInterval = 12 * time.Millisecond
+	// retryFactor and answerFactor, multiplied by the mean response time of a region, are lower bounds for the
+	// retry interval and the answer timeout, since regions are tens of milliseconds apart.
+	retryFactor  = 1.5
 	answerFactor = 3
-	// answerTimeout is how long an answer is waited for. A daemon whose processor is a
-	// quota may stand still for a tenth of a second; asking the next one costs less.
+	// answerTimeout is how long to wait for an answer. A daemon under a CPU quota may be stopped for a tenth of a
+	// second; asking the next one costs less than waiting for that.
 	answerTimeout = 60 * time.Millisecond
-	// abandonedTime is how long a late answer is reckoned with.
-	abandonedTime = 15 * time.Second
-	// sweepInterval is how often what is no longer needed is forgotten.
+	// abandonedTTL is how long a late answer to an abandoned question is still recognized.
+	abandonedTTL = 15 * time.Second
+	// sweepInterval is how often expired state is removed.
 	sweepInterval = 5 * time.Second
 )
 
-// Options are what a Limiter works with.
+// Options configures a Limiter.
 type Options struct {
 	Link peerlink.Carrier
-	// Topology is where the other daemons are, and Count how many daemons there may be.
+	// Topology describes the other daemons, and Count returns the number of daemons that may exist.
 	Topology peerlink.Topology
 	Count    func() int
-	// Presence tells how many daemons were heard lately.
+	// Presence records which daemons were heard recently.
 	Presence *presence.List
-	// Margin is what an owner may exceed its limit by, in tokens.
+	// Margin is the amount, in tokens, by which an owner may exceed its limit.
 	Margin float64
-	// BackendHomes returns the daemons that grant for a back end, the home first; nil ranks all daemons.
+	// BackendHomes returns the daemons that grant for a back end, the home first. If nil, all daemons are ranked.
 	BackendHomes func(id identity.BackendID) []string
-	// BackendLimit returns the newest of a back end's limit that was asked for and what this daemon knows; false where
-	// the back end has none any more. Nil knows nothing.
+	// BackendLimit returns the newer of the requested limit of a back end and the one known to this daemon, or
+	// false if the back end no longer has a limit. If nil, the requested limit is used.
 	BackendLimit func(id identity.BackendID, asked quota.Limit) (quota.Limit, bool)
-	// Now is the time by which grants are judged; nil means clock.Now.
+	// Now returns the time that applies to grants; nil means clock.Now.
 	Now func() time.Time
 	Log logrus.FieldLogger
 }
 
-// Limiter grants parts of limits, and asks for them. It is safe for use by several
-// goroutines.
+// Limiter grants parts of limits and requests them from other daemons. It is safe for concurrent use.
 type Limiter struct {
 	options   Options
 	self      string
 	questions *peerlink.Questions[quota.Decision]
 	silence   *presence.Silence
-	// roundTrips are observed by the questions.
+	// roundTrips measures how long answers take, by region.
 	roundTrips peerlink.RoundTrips
 
 	mutex sync.Mutex
-	// ledger has the buckets that this daemon grants from, and parts the buckets of its own
-	// equal parts.
-	ledger *quota.Ledger
-	parts  *quota.Ledger
-	// heard are the regions of which a daemon was ever heard, startedAt is when this daemon
-	// began, and apart is when a daemon of a region last asked that hears none of this one's region.
-	heard     map[identity.Region]bool
-	startedAt time.Time
-	apart     map[identity.Region]time.Time
-	// abandoned are questions that are no longer waited for, with when that ended: what is
-	// granted to them is given back. An answer to any other is a repeated one.
+	// grants holds the buckets of owners that this daemon grants for, and localShares those of its own equal
+	// shares.
+	grants      *quota.Ledger
+	localShares *quota.Ledger
+	// seenRegions are the regions from which a daemon was ever heard, startedAt is when this daemon started, and
+	// partitionedAt is when a daemon of a region last reported that it hears none of this region.
+	seenRegions   map[identity.Region]bool
+	startedAt     time.Time
+	partitionedAt map[identity.Region]time.Time
+	// abandoned holds questions whose wait has ended, with the time of that: what is granted to them is returned.
+	// Answers to any other question that nothing waits for are duplicates.
 	abandoned map[uint64]time.Time
 }
 
-// New makes a Limiter, which other daemons can ask at once.
+// New creates a Limiter and registers its message handlers.
 func New(options Options) *Limiter {
 	if options.Now == nil {
 		options.Now = clock.Now
@@ -99,17 +99,17 @@
 	made := &Limiter{
 		options: options, self: options.Link.Address(),
 		questions: peerlink.NewQuestions[quota.Decision](), silence: presence.NewSilence(options.Presence),
-		// Those that found this daemon silent ask another one for so long.
-		ledger: quota.NewLedger(now.Add(presence.SilentTime), options.Margin), parts: quota.NewLedger(now, 0),
-		abandoned: map[uint64]time.Time{}, apart: map[identity.Region]time.Time{}, heard: map[identity.Region]bool{}, startedAt: now,
+		// Daemons that found this one unresponsive ask another one for that long.
+		grants: quota.NewLedger(now.Add(presence.SilentTime), options.Margin), localShares: quota.NewLedger(now, 0),
+		abandoned: map[uint64]time.Time{}, partitionedAt: map[identity.Region]time.Time{}, seenRegions: map[identity.Region]bool{}, startedAt: now,
 	}
-	peerlink.HandleDecoded(options.Link, peerlink.KindLimitAsk, made.hearQuestion)
-	peerlink.HandleDecoded(options.Link, peerlink.KindLimitAnswer, made.hearAnswer)
-	peerlink.HandleDecoded(options.Link, peerlink.KindLimitReturn, made.hearReturn)
+	peerlink.HandleDecoded(options.Link, peerlink.KindLimitAsk, made.receiveQuestion)
+	peerlink.HandleDecoded(options.Link, peerlink.KindLimitAnswer, made.receiveAnswer)
+	peerlink.HandleDecoded(options.Link, peerlink.KindLimitReturn, made.receiveReturn)
 	return made
 }
 
-// Run forgets what is no longer needed until the context ends.
+// Run removes expired state until the context ends.
 func (l *Limiter) Run(ctx context.Context) error {
 	pause.Every(ctx, sweepInterval, func(time.Time) { l.sweep(l.options.Now()) })
 	return nil
@@ -118,37 +118,37 @@
 func (l *Limiter) sweep(now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	maps.DeleteFunc(l.abandoned, func(_ uint64, at time.Time) bool { return now.Sub(at) > abandonedTime })
+	maps.DeleteFunc(l.abandoned, func(_ uint64, at time.Time) bool { return now.Sub(at) > abandonedTTL })
 }
 
-// abandon notes that a question is no longer waited for.
+// abandon records that a question is no longer waited for.
 func (l *Limiter) abandon(number uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.abandoned[number] = l.options.Now()
 }
 
-// Grant is what a request was granted of a limit, or not.
+// Grant is the decision on a request for a part of a limit.
 type Grant struct {
 	quota.Decision
 	// Grantor is the address of the daemon that decided.
 	Grantor string
-	// LocalShare is set where neither the home nor the daemon in its place answered, so that this
-	// daemon decided by its own part of the limit.
+	// LocalShare is set if neither the home nor its substitute responded, so that this daemon decided by its own
+	// share of the limit.
 	LocalShare bool
-	// Limit is the limit as the asking daemon knows it, and Cost what was asked for.
+	// Limit is the limit as known to the requesting daemon, and Cost the requested amount.
 	Limit  quota.Limit
 	Cost   float64
 	number uint64
 }
 
-// Take asks for a cost of an owner's limit. It waits for the answer of another daemon for
-// two times answerTimeout at most, or mostAnswerTime where that is in another region.
+// Take requests a cost from an owner's limit. It waits for other daemons for up to twice answerTimeout, or twice
+// maxAnswerTimeout if they are in other regions.
 func (l *Limiter) Take(ctx context.Context, owner quota.Owner, limit quota.Limit, cost float64) Grant {
 	request := quota.Request{Key: quota.RequestKey{From: l.self}, Owner: owner, Limit: limit, Cost: cost}
 	ranking := l.ranking(owner)
-	for _, address := range ranking[:min(len(ranking), grantors)] {
-		// Each daemon gets its own number: a late answer of one must not be taken for the next one's.
+	for _, address := range ranking[:min(len(ranking), grantorsPerOwner)] {
+		// Each daemon gets its own number, so that a late answer is not attributed to the next one.
 		request.Key.Number = l.questions.Next()
 		if address == l.self {
 			decision := l.decide(request, ranking[0])
@@ -162,10 +162,10 @@
 		}
 	}
 	request.Key.Number = l.questions.Next()
-	return Grant{Decision: l.takePart(request), Grantor: l.self, LocalShare: true, Limit: limit, Cost: cost, number: request.Key.Number}
+	return Grant{Decision: l.takeLocalShare(request), Grantor: l.self, LocalShare: true, Limit: limit, Cost: cost, number: request.Key.Number}
 }
 
-// Return gives back what was granted for a request that did not run.
+// Return gives back a grant whose request did not run.
 func (l *Limiter) Return(grant Grant) {
 	if !grant.Granted {
 		return
@@ -178,17 +178,17 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if grant.LocalShare {
-		l.parts.Return(key)
+		l.localShares.Return(key)
 		return
 	}
-	l.ledger.Return(key)
+	l.grants.Return(key)
 }
 
-// Uses returns what this daemon knows of the owners that it grants for.
+// Uses returns the usage of the owners that this daemon grants for.
 func (l *Limiter) Uses() []quota.Use {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.ledger.Uses(l.options.Now())
+	return l.grants.Uses(l.options.Now())
 }
 
 // ranking returns the daemons that may grant for an owner, the home first.
@@ -199,21 +199,21 @@
 	others := l.options.Topology.Others()
 	daemons := make([]string, 0, len(others)+1)
 	daemons = append(append(daemons, others...), l.self)
-	return rendezvous.WeightedTop(rendezvous.Key(string(owner)), daemons, l.options.Topology.CapacityOf, grantors)
+	return rendezvous.WeightedTop(rendezvous.Key(string(owner)), daemons, l.options.Topology.CapacityOf, grantorsPerOwner)
 }
 
-// takePart decides by this daemon's equal part of the limit.
-func (l *Limiter) takePart(request quota.Request) quota.Decision {
+// takeLocalShare decides by this daemon's equal share of the limit.
+func (l *Limiter) takeLocalShare(request quota.Request) quota.Decision {
 	request.Limit = request.Limit.Part(l.options.Count())
 	if _, isBackend := request.Owner.Backend(); isBackend {
-		request.Limit.Burst = max(request.Limit.Burst, request.Cost) // else each daemon overdraws its part by a request
+		request.Limit.Burst = max(request.Limit.Burst, request.Cost) // or each would exceed its share by a request
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.parts.Take(l.options.Now(), request, quota.Standing{Share: 1})
+	return l.localShares.Take(l.options.Now(), request, quota.Standing{Share: 1})
 }
 
-// decide grants from this daemon's ledger, as an owner's home or in the home's place.
+// decide decides by this daemon's buckets, as the home of an owner or as its substitute.
 func (l *Limiter) decide(request quota.Request, home string) quota.Decision {
 	if id, isBackend := request.Owner.Backend(); isBackend && l.options.BackendLimit != nil {
 		limit, limited := l.options.BackendLimit(id, request.Limit)
@@ -226,37 +226,37 @@
 	standing := l.standing(now, home)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.ledger.Take(now, request, standing)
+	return l.grants.Take(now, request, standing)
 }
 
-// ask asks another daemon. It returns false without an answer, and the daemon is not asked
+// ask requests a grant from another daemon. It returns false if no answer arrived; the daemon is then not asked
 // again for a moment.
 func (l *Limiter) ask(ctx context.Context, address string, request quota.Request) (quota.Decision, bool) {
 	number := request.Key.Number
 	sent, asked := l.options.Now(), l.options.Topology.RegionOf(address)
-	answered := l.questions.Await(number, 1)
+	answers := l.questions.Await(number, 1)
 	defer l.questions.Forget(number)
 	question := &askMessage{
 		Number: number, Tenant: string(request.Owner), Version: request.Limit.Version,
 		RatePerSecond: request.Limit.RatePerSecond, Burst: request.Limit.Burst, Cost: request.Cost,
-		Apart: l.isApart(sent, asked),
+		Apart: l.isPartitioned(sent, asked),
 	}
 	peerlink.Tell(l.options.Link, address, peerlink.KindLimitAsk, question)
-	pause, patience := l.patience(asked)
-	repeat, timeout := time.NewTicker(pause), time.NewTimer(patience)
-	defer repeat.Stop()
+	retry, wait := l.timing(asked)
+	retryTicker, timeout := time.NewTicker(retry), time.NewTimer(wait)
+	defer retryTicker.Stop()
 	defer timeout.Stop()
 	for {
 		select {
-		case decision := <-answered:
+		case decision := <-answers:
 			l.roundTrips.Note(asked, l.options.Now().Sub(sent))
 			return decision, true
-		case <-repeat.C:
+		case <-retryTicker.C:
 			peerlink.Tell(l.options.Link, address, peerlink.KindLimitAsk, question)
 		case <-timeout.C:
 			l.abandon(number)
-			l.noteSilent(address, request.Owner)
-			// What was granted is given back even if the answer can't come here.
+			l.recordTimeout(address, request.Owner)
+			// Return the grant even if the answer can not arrive here.
 			peerlink.Tell(l.options.Link, address, peerlink.KindLimitReturn, &returnMessage{Number: number})
 			return quota.Decision{}, false
 		case <-ctx.Done():
@@ -266,25 +266,25 @@
 	}
 }
 
-// noteSilent notes that a daemon did not answer.
-func (l *Limiter) noteSilent(address string, owner quota.Owner) {
+// recordTimeout records that a daemon did not answer in time.
+func (l *Limiter) recordTimeout(address string, owner quota.Owner) {
 	if l.silence.Note(address, l.options.Now()) {
 		l.options.Log.WithFields(logrus.Fields{"daemon": address, "owner": owner}).
-			Warn("A daemon doesn't answer for a limit. The next one is asked.")
+			Warn("A daemon did not answer a limit request in time; the next one is asked.")
 	}
 }
 
-// hearQuestion answers another daemon's question.
-func (l *Limiter) hearQuestion(from string, asked askMessage) {
-	l.noteApart(from, asked.Apart)
+// receiveQuestion answers a question of another daemon.
+func (l *Limiter) receiveQuestion(from string, asked askMessage) {
+	l.recordPartition(from, asked.Apart)
 	request := asked.request(from)
 	decision := l.decide(request, l.ranking(request.Owner)[0])
 	peerlink.Tell(l.options.Link, from, peerlink.KindLimitAnswer, newAnswer(asked.Number, decision))
 }
 
-// hearAnswer hands an answer to the request that waits for it. What was granted to one that
-// no longer waits is given back.
-func (l *Limiter) hearAnswer(from string, got answerMessage) {
+// receiveAnswer passes an answer to the request that waits for it. A grant to a request that no longer waits is
+// returned.
+func (l *Limiter) receiveAnswer(from string, got answerMessage) {
 	if l.questions.Answer(got.Number, got.decision()) {
 		return
 	}
@@ -296,9 +296,9 @@
 	}
 }
 
-// hearReturn takes back what another daemon did not use.
-func (l *Limiter) hearReturn(from string, got returnMessage) {
+// receiveReturn takes back a grant that another daemon did not use.
+func (l *Limiter) receiveReturn(from string, got returnMessage) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.ledger.Return(quota.RequestKey{From: from, Number: got.Number})
+	l.grants.Return(quota.RequestKey{From: from, Number: got.Number})
 }
--- a/internal/sharedlimit/limiter_test.go
+++ b/internal/sharedlimit/limiter_test.go
@@ -17,8 +17,8 @@
 	"github.com/lotusward/lotusward/internal/peerlink/peerlinktest"
 )
 
-// What the limits in these tests are, and by how much they may be exceeded: the bound of
-// the users' pages for one of their deployments, at a hundredth of its size.
+// The limit in these tests and the amount by which it may be exceeded: the bound that the user documentation gives
+// for one deployment, at a hundredth of its size.
 const (
 	testRate      = 3800.0
 	testMargin    = 0.25 * testSlack
@@ -32,13 +32,13 @@
 	return quota.Limit{Version: version, RatePerSecond: testRate, Burst: testRate}
 }
 
-// bound is the most that may be granted in a window.
+// bound returns the most that may be granted within a window.
 func bound() float64 {
 	return (testRate*testWindow.Seconds()+testRate)*(1+testOvershoot) + testSlack
 }
 
-// demand asks for a tenant's limit at all daemons for some time, at a multiple of the rate.
-// Between two requests it does what is due.
+// demand sends requests of a tenant to all daemons for some time, at a multiple of the limit's rate. It calls step
+// before each request.
 func (f *fleet) demand(tenant quota.Owner, length time.Duration, times float64, step func(elapsed time.Duration)) {
 	pause := time.Duration(testCost / (testRate * times) * float64(time.Second))
 	began, told := time.Now(), time.Now()
@@ -46,23 +46,23 @@
 		step(time.Since(began))
 		if time.Since(told) > 500*time.Millisecond {
 			told = time.Now()
-			f.tellAll()
+			f.exchangePresence()
 		}
-		at := f.daemons[f.luck.IntN(len(f.daemons))]
-		f.request(at, tenant, testLimit(1), testCost*(0.5+f.luck.Float64()))
+		at := f.daemons[f.rng.IntN(len(f.daemons))]
+		f.request(at, tenant, testLimit(1), testCost*(0.5+f.rng.Float64()))
 		time.Sleep(pause)
 	}
 	settle()
 }
 
-// TestCalmUseIsGranted sends nine tenths of the limit's rate through daemons that lose some
-// datagrams and know each other: at least 98 in 100 is granted.
-func TestCalmUseIsGranted(t *testing.T) {
+// TestUseBelowLimitIsGranted requests nine tenths of the limit's rate while some datagrams are lost. At least 98%
+// must be granted.
+func TestUseBelowLimitIsGranted(t *testing.T) {
 	for _, count := range []int{1, 2, 7, 79} {
 		synctest.Test(t, func(t *testing.T) {
 			fleet := newFleet(uint64(count), count)
 			fleet.network.Lose(0.03)
-			fleet.tellAll()
+			fleet.exchangePresence()
 			settle()
 			fleet.demand("t", 20*time.Second, 0.9, func(time.Duration) {})
 			refused := fleet.refused["t"] / fleet.asked["t"]
@@ -71,7 +71,7 @@
 	}
 }
 
-// fault is one trouble of a fleet.
+// fault is a fault to inject into a fleet.
 type fault struct {
 	kind   string
 	at     time.Duration
@@ -92,7 +92,7 @@
 	}), 0, 2).Draw(t, "faults")
 }
 
-// begin begins a fault and returns what ends it.
+// begin starts a fault and returns a function that ends it.
 func (f *fleet) begin(trouble fault) (end func()) {
 	switch trouble.kind {
 	case "add":
@@ -106,22 +106,22 @@
 	case "herd":
 		trouble.share = 1
 	}
-	luck := rand.New(rand.NewPCG(trouble.seed, 2))
-	var struck []*member
-	for _, index := range luck.Perm(len(f.daemons))[:max(int(trouble.share*float64(len(f.daemons))), 1)] {
-		struck = append(struck, f.daemons[index])
+	rng := rand.New(rand.NewPCG(trouble.seed, 2))
+	var affected []*testDaemon
+	for _, index := range rng.Perm(len(f.daemons))[:max(int(trouble.share*float64(len(f.daemons))), 1)] {
+		affected = append(affected, f.daemons[index])
 	}
-	for _, daemon := range struck {
-		f.strike(daemon, trouble.kind)
+	for _, daemon := range affected {
+		f.inject(daemon, trouble.kind)
 	}
 	return func() {
-		for _, daemon := range struck {
-			f.heal(daemon, trouble.kind)
+		for _, daemon := range affected {
+			f.undo(daemon, trouble.kind)
 		}
 	}
 }
 
-func (f *fleet) strike(daemon *member, kind string) {
+func (f *fleet) inject(daemon *testDaemon, kind string) {
 	switch kind {
 	case "kill", "herd":
 		daemon.SetDown(true)
@@ -134,7 +134,7 @@
 	}
 }
 
-func (f *fleet) heal(daemon *member, kind string) {
+func (f *fleet) undo(daemon *testDaemon, kind string) {
 	switch kind {
 	case "kill", "herd":
 		daemon.start()
@@ -148,9 +148,8 @@
 	}
 }
 
-// TestLimitHoldsUnderFaults sends three times a tenant's limit while daemons are killed,
-// frozen, suspended, cut off from the others, started in herds and added: in no window more is granted
-// than the bound allows.
+// TestLimitHoldsUnderFaults requests three times a tenant's limit while daemons are killed, frozen, suspended,
+// partitioned, restarted all at once or added. No window may exceed the bound.
 func TestLimitHoldsUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
@@ -161,12 +160,12 @@
 		most := 0.0
 		synctest.Test(t, func(*testing.T) {
 			fleet := newFleet(seed, count)
-			fleet.standsStill = standsStill
-			troubles := schedule{fleet: fleet, faults: faults}
-			fleet.demand(tenant, 15*time.Second, 3, troubles.advance)
-			troubles.end()
+			fleet.clocksPauseOnSuspend = standsStill
+			injector := faultSchedule{fleet: fleet, faults: faults}
+			fleet.demand(tenant, 15*time.Second, 3, injector.advance)
+			injector.end()
 			settle()
-			most = fleet.mostGranted(tenant, testWindow)
+			most = fleet.maxGranted(tenant, testWindow)
 		})
 		if most > bound() {
 			rt.Fatalf("%v was granted in a window, %v is allowed", most, bound())
@@ -174,12 +173,12 @@
 	})
 }
 
-// TestUnusedGrantIsGivenBack takes the whole limit, gives it back, and takes it again.
-func TestUnusedGrantIsGivenBack(t *testing.T) {
+// TestUnusedGrantIsReturned takes the whole limit, returns it and takes it again.
+func TestUnusedGrantIsReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(5, 3)
 		time.Sleep(time.Minute)
-		fleet.tellAll()
+		fleet.exchangePresence()
 		settle()
 		for number, daemon := range fleet.daemons {
 			for round := range 3 {
@@ -192,13 +191,13 @@
 	})
 }
 
-// TestSilentHomeCostsLittle stops the home: a request waits for it once, the next ones are
-// answered by the daemon in its place at once.
-func TestSilentHomeCostsLittle(t *testing.T) {
+// TestUnreachableHomeDelaysOnce stops the home. One request may wait for it, and the substitute must answer the
+// next ones immediately.
+func TestUnreachableHomeDelaysOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(5, 8)
 		time.Sleep(time.Minute)
-		fleet.tellAll()
+		fleet.exchangePresence()
 		settle()
 		asking := fleet.daemons[0]
 		tenant := quota.Owner("t")
@@ -217,13 +216,13 @@
 	})
 }
 
-// TestRepeatedAnswerGivesNothingBack hears the answer to a question twice, since the question
-// was repeated: what was granted is used, and stays taken.
-func TestRepeatedAnswerGivesNothingBack(t *testing.T) {
+// TestDuplicateAnswerReturnsNothing delivers an answer twice, as happens after a retried question. The grant is in
+// use and must not be returned.
+func TestDuplicateAnswerReturnsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(5, 3)
 		time.Sleep(time.Minute)
-		fleet.tellAll()
+		fleet.exchangePresence()
 		settle()
 		asking, home := fleet.daemons[0], ""
 		tenant := quota.Owner("t")
@@ -231,24 +230,24 @@
 			tenant += "t"
 		}
 		assert.Assert(t, asking.limiter.Take(t.Context(), tenant, testLimit(1), testRate).Granted)
-		asking.limiter.hearAnswer(home, answerMessage{Number: asking.limiter.questions.Next() - 1, Granted: true})
+		asking.limiter.receiveAnswer(home, answerMessage{Number: asking.limiter.questions.Next() - 1, Granted: true})
 		time.Sleep(2 * peerlinktest.Delay)
 		synctest.Wait()
 		assert.Assert(t, !asking.limiter.Take(t.Context(), tenant, testLimit(1), testRate).Granted)
 	})
 }
 
-// TestLateAnswerIsNotTakenForAnothers lets a home answer once the next daemon is asked: what the
-// home granted is given back, and what the request uses stays taken at the daemon that is named for it.
-func TestLateAnswerIsNotTakenForAnothers(t *testing.T) {
+// TestLateAnswerIsNotMisattributed has a home answer after the next daemon was asked. The grant of the home must
+// be returned, and the grant that the request uses must stay taken at the daemon named as its grantor.
+func TestLateAnswerIsNotMisattributed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(5, 8)
 		time.Sleep(time.Minute)
-		fleet.tellAll()
+		fleet.exchangePresence()
 		settle()
 		asking := fleet.daemons[0]
 		tenant := quota.Owner("t")
-		for slices.Contains(asking.limiter.ranking(tenant)[:grantors], asking.Address()) {
+		for slices.Contains(asking.limiter.ranking(tenant)[:grantorsPerOwner], asking.Address()) {
 			tenant += "t"
 		}
 		home, next := asking.limiter.ranking(tenant)[0], asking.limiter.ranking(tenant)[1]
@@ -270,7 +269,7 @@
 		grant := asking.limiter.Take(t.Context(), tenant, testLimit(1), 10)
 		assert.Assert(t, grant.Granted)
 		assert.Equal(t, grant.Grantor, next)
-		asking.limiter.hearAnswer(next, answerMessage{Number: grant.number, Granted: true}) // repeated
+		asking.limiter.receiveAnswer(next, answerMessage{Number: grant.number, Granted: true}) // duplicate
 		settle()
 		mutex.Lock()
 		defer mutex.Unlock()
@@ -279,25 +278,24 @@
 	})
 }
 
-// TestLimitHoldsWhileItsHomeRestarts kills the daemons that grant for a tenant, one or both, again and again within the
-// window, and lets each start after a moment, while three times the tenant's limit is sent: in no window more is granted than
-// the bound allows.
-func TestLimitHoldsWhileItsHomeRestarts(t *testing.T) {
+// TestLimitHoldsWhileHomeRestarts repeatedly kills and restarts one or both of the daemons that grant for a tenant
+// within the window, while three times the limit is requested. No window may exceed the bound.
+func TestLimitHoldsWhileHomeRestarts(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
 		count, seed := rapid.IntRange(3, 20).Draw(rt, "daemons"), rapid.Uint64().Draw(rt, "seed")
 		pauses := rapid.SliceOfN(rapid.IntRange(300, 3000), 1, 12).Draw(rt, "milliseconds between kills")
 		downs := rapid.SliceOfN(rapid.IntRange(50, 1500), 1, 12).Draw(rt, "milliseconds down")
-		ranks := rapid.SliceOfN(rapid.IntRange(0, grantors-1), 1, 12).Draw(rt, "ranks")
+		ranks := rapid.SliceOfN(rapid.IntRange(0, grantorsPerOwner-1), 1, 12).Draw(rt, "ranks")
 		most := 0.0
 		synctest.Test(t, func(*testing.T) {
 			fleet := newFleet(seed, count)
 			kills, next := 0, time.Second
-			starts := map[*member]time.Duration{}
+			starts := map[*testDaemon]time.Duration{}
 			fleet.demand("t", 10*time.Second, 3, func(elapsed time.Duration) {
 				for daemon, at := range starts {
 					if elapsed >= at {
-						fleet.heal(daemon, "kill")
+						fleet.undo(daemon, "kill")
 						delete(starts, daemon)
 					}
 				}
@@ -306,13 +304,13 @@
 				}
 				killed := fleet.byAddress(fleet.daemons[0].limiter.ranking("t")[ranks[kills%len(ranks)]])
 				if _, down := starts[killed]; !down {
-					fleet.strike(killed, "kill")
+					fleet.inject(killed, "kill")
 					starts[killed] = elapsed + time.Duration(downs[kills%len(downs)])*time.Millisecond
 				}
 				next = elapsed + time.Duration(pauses[kills%len(pauses)])*time.Millisecond
 				kills++
 			})
-			most = fleet.mostGranted("t", testWindow)
+			most = fleet.maxGranted("t", testWindow)
 		})
 		if most > bound() {
 			rt.Fatalf("%v was granted in a window, %v is allowed", most, bound())
--- a/internal/sharedlimit/message.go
+++ b/internal/sharedlimit/message.go
@@ -6,18 +6,18 @@
 	"github.com/lotusward/lotusward/internal/core/quota"
 )
 
-// askMessage asks a daemon to grant a part of an owner's limit. It carries the limit, so
-// that the one that grants needs no configuration of its own and heeds the newest.
+// askMessage requests a grant from an owner's limit. It carries the limit, so that the granting daemon needs no
+// configuration for the owner and applies the newest version.
 type askMessage struct {
 	Number uint64
-	// Tenant names the owner.
+	// Tenant is the owner.
 	Tenant        string
 	Version       uint64
 	RatePerSecond float64
 	Burst         float64
 	Cost          float64
-	// Apart says that the asker hears daemons of its own region and none of the asked one's:
-	// it won't hear an answer either.
+	// Apart states that the sender hears daemons of its own region but none of the receiver's region, and so will
+	// not receive the answer either.
 	Apart bool
 }
 
@@ -30,11 +30,11 @@
 	}
 }
 
-// answerMessage answers an askMessage.
+// answerMessage is the answer to an askMessage.
 type answerMessage struct {
 	Number  uint64
 	Granted bool
-	// WaitMs is how many milliseconds it takes until there is room.
+	// WaitMs is the number of milliseconds until capacity is available.
 	WaitMs uint32
 }
 
@@ -46,5 +46,5 @@
 	return quota.Decision{Granted: m.Granted, Wait: time.Duration(m.WaitMs) * time.Millisecond}
 }
 
-// returnMessage gives back what was granted and not used.
+// returnMessage returns an unused grant.
 type returnMessage struct{ Number uint64 }
--- a/internal/sharedlimit/region.go
+++ b/internal/sharedlimit/region.go
@@ -8,44 +8,44 @@
 	"github.com/lotusward/lotusward/internal/presence"
 )
 
-// apartTime is for how long a region counts as apart after one of its daemons asked that hears
-// nobody here. Each asks a silent home again within a second.
-const apartTime = 3 * time.Second
+// partitionTTL is how long a region counts as partitioned after one of its daemons reported hearing none of this
+// region. Each of them asks an unresponsive home again within a second.
+const partitionTTL = 3 * time.Second
 
-// mostAnswerTime bounds how long an answer from another region is waited for: a request that waits for
-// a home and for the one in its place must have time left to be answered. Answers from 20 ms away take
-// a tenth of it.
-const mostAnswerTime = 400 * time.Millisecond
+// maxAnswerTimeout bounds the wait for an answer from another region: a request that waits for the home and for
+// its substitute must have time left to be served. Answers from 20 ms away take a tenth of it.
+const maxAnswerTimeout = 400 * time.Millisecond
 
-// patience is how long lies between two sendings of a question to a daemon of a region, and how long
-// its answer is waited for, by how long answers from there take, where that is another region.
-func (l *Limiter) patience(region identity.Region) (repeat, answer time.Duration) {
+// timing returns the retry interval and the timeout for a question to a daemon of a region. For other regions both
+// are derived from the measured response time.
+func (l *Limiter) timing(region identity.Region) (repeat, answer time.Duration) {
 	mean, known := l.roundTrips.Mean(region)
 	if !known || region == l.options.Topology.RegionOf(l.self) {
-		return repeatInterval, answerTimeout
+		return retryInterval, answerTimeout
 	}
-	mean = min(mean, mostAnswerTime/answerFactor)
-	return max(time.Duration(repeatFactor*float64(mean)), repeatInterval), max(answerFactor*mean, answerTimeout)
+	mean = min(mean, maxAnswerTimeout/answerFactor)
+	return max(time.Duration(retryFactor*float64(mean)), retryInterval), max(answerFactor*mean, answerTimeout)
 }
 
-// isApart tells whether this daemon hears others, but none of another region any more: what it sends
-// may arrive there, but no answer here. One that has just started may not have heard it yet.
-func (l *Limiter) isApart(now time.Time, region identity.Region) bool {
+// isPartitioned reports whether this daemon hears others but none of the given region any more, so that its
+// datagrams may arrive there but no answer returns. A daemon that has just started may not have heard the region
+// yet, which does not count.
+func (l *Limiter) isPartitioned(now time.Time, region identity.Region) bool {
 	own := l.options.Topology.RegionOf(l.self)
 	if own == "" || region == "" || own == region {
 		return false
 	}
-	anyone, there := l.hears(now, region)
+	anyone, fromRegion := l.recentlyHeard(now, region)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if there {
-		l.heard[region] = true
+	if fromRegion {
+		l.seenRegions[region] = true
 	}
-	return anyone && !there && (l.heard[region] || now.Sub(l.startedAt) > presence.Time(l.options.Count()))
+	return anyone && !fromRegion && (l.seenRegions[region] || now.Sub(l.startedAt) > presence.Time(l.options.Count()))
 }
 
-// hears tells whether any other daemon was heard lately, and whether any of a region was.
-func (l *Limiter) hears(now time.Time, region identity.Region) (anyone, there bool) {
+// recentlyHeard reports whether any other daemon was heard recently, and whether any of the given region was.
+func (l *Limiter) recentlyHeard(now time.Time, region identity.Region) (anyone, fromRegion bool) {
 	daemons := l.options.Count()
 	for _, address := range l.options.Topology.Others() {
 		if !l.options.Presence.Present(now, daemons, address) {
@@ -59,8 +59,8 @@
 	return anyone, false
 }
 
-// noteApart notes whether the daemons of an asker's region hear those of this one.
-func (l *Limiter) noteApart(from string, apart bool) {
+// recordPartition records whether the sender's region reports that it hears none of this region.
+func (l *Limiter) recordPartition(from string, apart bool) {
 	region := l.options.Topology.RegionOf(from)
 	if region == "" {
 		return
@@ -68,35 +68,36 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if apart {
-		l.apart[region] = l.options.Now()
+		l.partitionedAt[region] = l.options.Now()
 	}
 }
 
-// standing is in which position this daemon grants. A cut may be one way, and then both the home and
-// the one in its place may hear all others. The home leaves out regions that don't hear it; the
-// other, while it hears the home, grants no more than the part of its region.
+// standing returns the position from which this daemon grants. A partition may affect one direction only, so that
+// both the home and its substitute may hear all other daemons. The home therefore excludes regions that do not
+// hear it, and a substitute that hears the home grants no more than the share of its own region.
 func (l *Limiter) standing(now time.Time, home string) quota.Standing {
 	daemons := l.options.Count()
 	if home == l.self {
-		return quota.Standing{Home: true, Share: l.options.Presence.HomeShare(now, daemons, l.apartAt(now))}
+		return quota.Standing{Home: true, Share: l.options.Presence.HomeShare(now, daemons, l.partitionedFilter(now))}
 	}
-	most := 1.0
+	maxShare := 1.0
 	if l.options.Topology.RegionOf(l.self) != l.options.Topology.RegionOf(home) {
-		most = presence.ShareOf(len(l.options.Topology.Near(l.self))+1, daemons)
+		maxShare = presence.ShareOf(len(l.options.Topology.Near(l.self))+1, daemons)
 	}
 	return quota.Standing{
-		Share:       l.options.Presence.SubstituteShare(now, daemons, home, most),
+		Share:       l.options.Presence.SubstituteShare(now, daemons, home, maxShare),
 		HomeHeardAt: l.options.Presence.HeardAt(home),
 	}
 }
 
-// apartAt returns whether a daemon is of a region that doesn't hear this one; nil where there is none.
-func (l *Limiter) apartAt(now time.Time) func(address string) bool {
+// partitionedFilter returns a function that reports whether a daemon is in a region that does not hear this one,
+// or nil if there is no such region.
+func (l *Limiter) partitionedFilter(now time.Time) func(address string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	regions := map[identity.Region]bool{}
-	for region, at := range l.apart {
-		if now.Sub(at) <= apartTime {
+	for region, at := range l.partitionedAt {
+		if now.Sub(at) <= partitionTTL {
 			regions[region] = true
 		}
 	}
