--- a/internal/roomshare/message.go
+++ b/internal/roomshare/message.go
@@ -5,14 +5,14 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// toldMessage tells what room the sender's region has.
-type toldMessage struct {
+// capacityMessage reports the capacity of the sender's region.
+type capacityMessage struct {
 	Region   identity.Region
-	Services []serviceRoom
+	Services []serviceCapacity
 }
 
-// serviceRoom is the room of one service in a region, in whole numbers, which are shorter.
-type serviceRoom struct {
+// serviceCapacity is the capacity of one service in a region, in integers, which are shorter on the wire.
+type serviceCapacity struct {
 	Service  identity.ServiceName
 	Backends uint32
 	Slots    uint32
@@ -21,31 +21,31 @@
 	Tokens   uint64
 }
 
-func newServiceRoom(service identity.ServiceName, room backendpool.RegionCapacity) serviceRoom {
-	return serviceRoom{
-		Service: service, Backends: uint32(room.Backends), Slots: uint32(room.Slots), InFlight: uint32(room.InFlight),
-		Reading: uint64(room.Reading), Tokens: uint64(room.Tokens),
+func newServiceCapacity(service identity.ServiceName, capacity backendpool.RegionCapacity) serviceCapacity {
+	return serviceCapacity{
+		Service: service, Backends: uint32(capacity.Backends), Slots: uint32(capacity.Slots), InFlight: uint32(capacity.InFlight),
+		Reading: uint64(capacity.Reading), Tokens: uint64(capacity.Tokens),
 	}
 }
 
-func (r serviceRoom) room(region identity.Region) backendpool.RegionCapacity {
+func (r serviceCapacity) decode(region identity.Region) backendpool.RegionCapacity {
 	return backendpool.RegionCapacity{
 		Region: region, Backends: float64(r.Backends), Slots: float64(r.Slots), InFlight: float64(r.InFlight),
 		Reading: float64(r.Reading), Tokens: float64(r.Tokens),
 	}
 }
 
-// questionMessage asks what other regions told.
+// questionMessage asks for the reports received from other regions.
 type questionMessage struct{ Number uint64 }
 
-// answerMessage answers a questionMessage.
+// answerMessage is the answer to a questionMessage.
 type answerMessage struct {
 	Number  uint64
 	Regions []agedMessage
 }
 
-// agedMessage is what a region told, and how long ago it was heard, in milliseconds.
+// agedMessage is the report of a region and the time since it was received, in milliseconds.
 type agedMessage struct {
-	Told            toldMessage
+	Told            capacityMessage
 	AgeMilliseconds uint32
 }
--- a/internal/roomshare/roomshare.go
+++ b/internal/roomshare/roomshare.go
@@ -1,7 +1,7 @@
-// Package roomshare lets daemons know what room other regions have, where there are several.
-// In each region two daemons sum up what is under way at its back ends, by a sample of them,
-// and tell two daemons of each other region some times a second. Who is about to send a
-// request to another region asks one of those in its own.
+// Package roomshare exchanges the free capacity of regions between daemons, if there are several regions. In each
+// region two daemons estimate the load of its back ends from a sample and send it to two daemons of each other
+// region several times a second. A daemon that is about to send a request to another region queries those of its
+// own region.
 package roomshare
 
 import (
@@ -20,171 +20,171 @@
 )
 
 const (
-	// tellersEach is how many daemons of a region tell and hear for it: one may be gone.
-	tellersEach = 2
-	// tellInterval is how often a region's room is told: requests last half a second and more,
-	// so that it changes little in between.
-	tellInterval = 250 * time.Millisecond
-	// sampledBackends is how many back ends are asked for what is under way there before a
-	// region's room is told: 30 are all asked within a second.
+	// exchangersPerRegion is how many daemons send and receive reports for a region: with two, one may fail.
+	exchangersPerRegion = 2
+	// sendInterval is how often a region's capacity is sent. Requests take half a second or more, so that it
+	// changes little in between.
+	sendInterval = 250 * time.Millisecond
+	// sampledBackends is how many back ends are queried for their load before each report: 30 back ends are all
+	// covered within a second.
 	sampledBackends = 8
-	// askAgainAfter is how old an answer may be to be used again.
-	askAgainAfter = 200 * time.Millisecond
-	// answerTimeout is how long a request waits for an answer from the own region. A later one serves the requests after
-	// it: some zones are further apart.
+	// minQueryInterval is the minimum time between two queries; earlier requests use the reports at hand.
+	minQueryInterval = 200 * time.Millisecond
+	// answerTimeout is how long a request waits for an answer from its own region. Zones may be further apart than
+	// that: a later answer serves the requests after it.
 	answerTimeout = 10 * time.Millisecond
-	// forgetAfter is how long a region that told its room counts as within reach.
-	forgetAfter = 1500 * time.Millisecond
+	// reportTTL is how long a region counts as reachable after its last report.
+	reportTTL = 1500 * time.Millisecond
 )
 
-// Options are what a Sharer works with.
+// Options configures a Sharer.
 type Options struct {
 	Link peerlink.Carrier
-	// Others returns the addresses of the other daemons, in another slice whenever any of them
-	// is described anew, and Zone the zone of one of them; empty is unknown.
+	// Others returns the addresses of the other daemons, in a new slice whenever the description of one of them
+	// changes. Zone returns the zone of a daemon, or an empty string if unknown.
 	Others func() []string
 	Zone   func(address string) identity.Zone
-	// Capacity returns the capacity of a daemon's machine relative to others', above zero.
+	// Capacity returns the positive capacity of a daemon's machine relative to others.
 	Capacity func(address string) float64
 	// OwnZone is this daemon's zone.
 	OwnZone   identity.Zone
 	Distances distance.Map
 	Pool      *backendpool.Pool
-	// Refresh tells the pool what is under way at back ends, by the hashes of their IDs; nil
-	// where the pool knows.
+	// Refresh updates the pool with the loads of back ends, given the hashes of their IDs. It is nil if the pool
+	// is always up to date.
 	Refresh func(ctx context.Context, keys []uint64)
 }
 
-// Sharer tells the room of the own region and knows that of the others. It is safe for use by
-// several goroutines.
+// Sharer sends the capacity of its own region and receives that of the others. It is safe for concurrent use.
 type Sharer struct {
 	options   Options
-	own       identity.Region
+	ownRegion identity.Region
 	questions *peerlink.Questions[answerMessage]
 	groups    *peerlink.Groups
 
-	mutex sync.Mutex
-	heard map[identity.Region]heardRoom
-	// askedAt is when the last question was asked.
-	askedAt time.Time
+	mutex   sync.Mutex
+	reports map[identity.Region]capacityReport
+	// lastQueryAt is when the last query was sent.
+	lastQueryAt time.Time
 }
 
-// heardRoom is what a region told last, and when that was heard first.
-type heardRoom struct {
-	told toldMessage
-	at   time.Time
+// capacityReport is the last report of a region and when it was first received.
+type capacityReport struct {
+	message capacityMessage
+	at      time.Time
 }
 
-// New makes a Sharer that hears at once, and tells while it runs.
+// New creates a Sharer and registers its message handlers. Reports are sent while Run is active.
 func New(options Options) *Sharer {
 	made := &Sharer{
-		options: options, own: options.Distances.Region(options.OwnZone),
-		questions: peerlink.NewQuestions[answerMessage](), heard: map[identity.Region]heardRoom{},
+		options: options, ownRegion: options.Distances.Region(options.OwnZone),
+		questions: peerlink.NewQuestions[answerMessage](), reports: map[identity.Region]capacityReport{},
 	}
 	made.groups = peerlink.NewGroups(options.Link.Address(), made.region)
-	peerlink.HandleDecoded(options.Link, peerlink.KindRoom, made.hearTold)
-	peerlink.HandleDecoded(options.Link, peerlink.KindRoomQuestion, made.hearQuestion)
-	peerlink.HandleDecoded(options.Link, peerlink.KindRoomAnswer, made.hearAnswer)
+	peerlink.HandleDecoded(options.Link, peerlink.KindRoom, made.receiveCapacity)
+	peerlink.HandleDecoded(options.Link, peerlink.KindRoomQuestion, made.receiveQuestion)
+	peerlink.HandleDecoded(options.Link, peerlink.KindRoomAnswer, made.receiveAnswer)
 	return made
 }
 
-// Run tells the own region's room until the context ends.
+// Run sends the capacity of the own region until the context ends.
 func (s *Sharer) Run(ctx context.Context) error {
 	if !s.options.Distances.HasSeveralRegions() {
 		<-ctx.Done()
 		return nil
 	}
-	pause.Every(ctx, tellInterval, func(time.Time) { s.tell(ctx) })
+	pause.Every(ctx, sendInterval, func(time.Time) { s.sendCapacity(ctx) })
 	return nil
 }
 
-// tell tells two daemons of each other region what room the own region has, if it is for this
-// daemon to do so.
-func (s *Sharer) tell(ctx context.Context) {
-	if !slices.Contains(s.tellers(s.own), s.options.Link.Address()) {
+// sendCapacity sends the capacity of the own region to the exchangers of each other region, if this daemon is an
+// exchanger.
+func (s *Sharer) sendCapacity(ctx context.Context) {
+	if !slices.Contains(s.exchangers(s.ownRegion), s.options.Link.Address()) {
 		return
 	}
 	if s.options.Refresh != nil {
-		s.options.Refresh(ctx, s.options.Pool.SampleRegion(s.own, sampledBackends))
+		s.options.Refresh(ctx, s.options.Pool.SampleRegion(s.ownRegion, sampledBackends))
 	}
-	told := s.sum()
-	datagram, fits := s.options.Link.Encode(peerlink.KindRoom, &told)
+	message := s.ownCapacity()
+	datagram, fits := s.options.Link.Encode(peerlink.KindRoom, &message)
 	if !fits {
 		return
 	}
 	for region := range s.byRegion() {
-		if region == s.own || region == "" {
+		if region == s.ownRegion || region == "" {
 			continue
 		}
-		for _, teller := range s.tellers(region) {
-			s.options.Link.Send(teller, datagram)
+		for _, exchanger := range s.exchangers(region) {
+			s.options.Link.Send(exchanger, datagram)
 		}
 	}
 }
 
-// sum is what room the own region has.
-func (s *Sharer) sum() toldMessage {
-	told := toldMessage{Region: s.own}
+// ownCapacity returns the capacity of the own region.
+func (s *Sharer) ownCapacity() capacityMessage {
+	message := capacityMessage{Region: s.ownRegion}
 	for _, service := range s.options.Pool.Services() {
-		for _, room := range s.options.Pool.RegionCapacities(clock.Now(), service) {
-			if room.Region == s.own {
-				told.Services = append(told.Services, newServiceRoom(service, room))
+		for _, capacity := range s.options.Pool.RegionCapacities(clock.Now(), service) {
+			if capacity.Region == s.ownRegion {
+				message.Services = append(message.Services, newServiceCapacity(service, capacity))
 			}
 		}
 	}
-	return told
+	return message
 }
 
-// byRegion are the daemons by their regions. The result must not be changed.
+// byRegion returns the daemons by region. The result must not be modified.
 func (s *Sharer) byRegion() map[identity.Region][]string {
 	return s.groups.Of(s.options.Others()).ByRegion
 }
 
-// region is a daemon's region; empty is unknown.
+// region returns the region of a daemon, or an empty string if unknown.
 func (s *Sharer) region(address string) identity.Region {
 	if address == s.options.Link.Address() {
-		return s.own
+		return s.ownRegion
 	}
 	return s.options.Distances.Region(s.options.Zone(address))
 }
 
-// tellers are the daemons of a region that tell and hear for it, mostly those of great capacity.
-func (s *Sharer) tellers(region identity.Region) []string {
-	return rendezvous.WeightedTop(rendezvous.Key("room/"+string(region)), s.byRegion()[region], s.options.Capacity, tellersEach)
+// exchangers returns the daemons that send and receive reports for a region. Daemons of larger capacity are
+// preferred.
+func (s *Sharer) exchangers(region identity.Region) []string {
+	return rendezvous.WeightedTop(rendezvous.Key("room/"+string(region)), s.byRegion()[region], s.options.Capacity, exchangersPerRegion)
 }
 
-// Rooms returns the rooms that a service has in other regions, of those that told lately, and
-// when each was told. It asks in the own region if what is known is old.
+// Rooms returns the capacity that a service has in the other regions with a recent report, and the time of each
+// report. It queries the exchangers of the own region first unless that was done recently.
 func (s *Sharer) Rooms(ctx context.Context, service identity.ServiceName) []CapacityReport {
 	now := clock.Now()
-	if s.isOld(now) {
-		s.ask(ctx)
+	if s.beginQuery(now) {
+		s.query(ctx)
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	var rooms []CapacityReport
-	for region, heard := range s.heard {
-		if now.Sub(heard.at) > forgetAfter {
+	var capacities []CapacityReport
+	for region, report := range s.reports {
+		if now.Sub(report.at) > reportTTL {
 			continue
 		}
-		for _, room := range heard.told.Services {
-			if room.Service == service {
-				rooms = append(rooms, CapacityReport{RegionCapacity: room.room(region), At: heard.at, DaemonsOutside: s.outside(region)})
+		for _, capacity := range report.message.Services {
+			if capacity.Service == service {
+				capacities = append(capacities, CapacityReport{RegionCapacity: capacity.decode(region), At: report.at, DaemonsOutside: s.daemonsOutside(region)})
 			}
 		}
 	}
-	return rooms
+	return capacities
 }
 
-// CapacityReport is the room of a region with when it was heard, and how many daemons are outside it.
+// CapacityReport is the capacity of a region, when it was reported, and how many daemons are outside the region.
 type CapacityReport struct {
 	backendpool.RegionCapacity
 	At             time.Time
 	DaemonsOutside int
 }
 
-// outside is how many daemons are outside a region.
-func (s *Sharer) outside(region identity.Region) int {
+// daemonsOutside returns how many daemons are outside a region.
+func (s *Sharer) daemonsOutside(region identity.Region) int {
 	found := 0
 	for other, daemons := range s.byRegion() {
 		if other != region {
@@ -194,29 +194,29 @@
 	return found
 }
 
-// isOld tells whether a question is due, and notes that it is asked then.
-func (s *Sharer) isOld(now time.Time) bool {
+// beginQuery reports whether a query is due, and if so records that it is sent now.
+func (s *Sharer) beginQuery(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if now.Sub(s.askedAt) < askAgainAfter {
+	if now.Sub(s.lastQueryAt) < minQueryInterval {
 		return false
 	}
-	s.askedAt = now
+	s.lastQueryAt = now
 	return true
 }
 
-// ask asks the daemons that hear for the own region. One that has heard nothing may have just
-// started: the other's answer is waited for too.
-func (s *Sharer) ask(ctx context.Context) {
-	asked := s.tellers(s.own)
+// query queries the exchangers of the own region. An empty answer may come from a daemon that has just started, so
+// the other's answer is awaited too.
+func (s *Sharer) query(ctx context.Context) {
+	asked := s.exchangers(s.ownRegion)
 	if slices.Contains(asked, s.options.Link.Address()) {
 		return
 	}
 	number := s.questions.Next()
 	answers := s.questions.Await(number, len(asked))
 	defer s.questions.Forget(number)
-	for _, teller := range asked {
-		peerlink.Tell(s.options.Link, teller, peerlink.KindRoomQuestion, &questionMessage{Number: number})
+	for _, exchanger := range asked {
+		peerlink.Tell(s.options.Link, exchanger, peerlink.KindRoomQuestion, &questionMessage{Number: number})
 	}
 	timeout := time.NewTimer(answerTimeout)
 	defer timeout.Stop()
@@ -234,45 +234,45 @@
 	}
 }
 
-// take takes in an answer, unless newer is known.
-func (s *Sharer) take(got answerMessage) {
+// applyAnswer records the reports in an answer that are newer than the known ones.
+func (s *Sharer) applyAnswer(got answerMessage) {
 	now := clock.Now()
 	for _, aged := range got.Regions {
-		s.note(aged.Told, now.Add(-time.Duration(aged.AgeMilliseconds)*time.Millisecond))
+		s.record(aged.Told, now.Add(-time.Duration(aged.AgeMilliseconds)*time.Millisecond))
 	}
 }
 
-func (s *Sharer) note(told toldMessage, at time.Time) {
+func (s *Sharer) record(message capacityMessage, at time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if at.After(s.heard[told.Region].at) {
-		s.heard[told.Region] = heardRoom{told: told, at: at}
+	if at.After(s.reports[message.Region].at) {
+		s.reports[message.Region] = capacityReport{message: message, at: at}
 	}
 }
 
-// hearTold takes in what another region tells.
-func (s *Sharer) hearTold(_ string, got toldMessage) {
-	if got.Region != s.own {
-		s.note(got, clock.Now())
+// receiveCapacity records the report of another region.
+func (s *Sharer) receiveCapacity(_ string, got capacityMessage) {
+	if got.Region != s.ownRegion {
+		s.record(got, clock.Now())
 	}
 }
 
-// hearQuestion answers a daemon of the own region.
-func (s *Sharer) hearQuestion(from string, got questionMessage) {
+// receiveQuestion answers a daemon of the own region.
+func (s *Sharer) receiveQuestion(from string, got questionMessage) {
 	now := clock.Now()
 	answer := &answerMessage{Number: got.Number}
 	s.mutex.Lock()
-	for _, heard := range s.heard {
-		if age := now.Sub(heard.at); age <= forgetAfter {
-			answer.Regions = append(answer.Regions, agedMessage{Told: heard.told, AgeMilliseconds: uint32(age.Milliseconds())})
+	for _, report := range s.reports {
+		if age := now.Sub(report.at); age <= reportTTL {
+			answer.Regions = append(answer.Regions, agedMessage{Told: report.message, AgeMilliseconds: uint32(age.Milliseconds())})
 		}
 	}
 	s.mutex.Unlock()
 	peerlink.Tell(s.options.Link, from, peerlink.KindRoomAnswer, answer)
 }
 
-// hearAnswer takes an answer in, whether or not a request waits for it.
-func (s *Sharer) hearAnswer(_ string, got answerMessage) {
-	s.take(got)
+// receiveAnswer records an answer, whether or not a request still waits for it.
+func (s *Sharer) receiveAnswer(_ string, got answerMessage) {
+	s.applyAnswer(got)
 	s.questions.Answer(got.Number, got)
 }
--- a/internal/roomshare/roomshare_test.go
+++ b/internal/roomshare/roomshare_test.go
@@ -20,22 +20,22 @@
 	"github.com/lotusward/lotusward/internal/peerlink/peerlinktest"
 )
 
-// farWay is how much longer a datagram takes to another region, one way.
-const farWay = 20 * time.Millisecond
+// crossRegionDelay is the additional one-way delay of a datagram to another region.
+const crossRegionDelay = 20 * time.Millisecond
 
-// slots are the places of each back end of a test.
+// slots is the number of slots of each back end.
 const slots = 4
 
-// fleet is daemons over some regions with two zones each, before two back ends a zone.
+// fleet is a set of daemons in several regions of two zones each, with two back ends per zone.
 type fleet struct {
 	network   *peerlinktest.Network
 	distances distance.Map
 	zones     map[string]identity.Zone
 	daemons   []*daemon
-	// zoneWay is how much longer a datagram takes to another zone of the region, one way.
-	zoneWay time.Duration
-	// crossed counts datagrams between regions, and crossedBytes their bytes.
-	crossed, crossedBytes atomic.Int64
+	// crossZoneDelay is the additional one-way delay of a datagram to another zone of the region.
+	crossZoneDelay time.Duration
+	// crossRegionDatagrams and crossRegionBytes count the traffic between regions.
+	crossRegionDatagrams, crossRegionBytes atomic.Int64
 }
 
 type daemon struct {
@@ -46,20 +46,20 @@
 	zone   identity.Zone
 }
 
-// Send takes longer to another region.
+// Send delays datagrams to other zones and regions.
 func (d *daemon) Send(to string, datagram []byte) {
 	between := d.fleet.distances.Between(d.zone, d.fleet.zones[to])
-	if between == distance.SameRegion && d.fleet.zoneWay > 0 {
-		time.AfterFunc(d.fleet.zoneWay, func() { d.Node.Send(to, datagram) })
+	if between == distance.SameRegion && d.fleet.crossZoneDelay > 0 {
+		time.AfterFunc(d.fleet.crossZoneDelay, func() { d.Node.Send(to, datagram) })
 		return
 	}
 	if between != distance.OtherRegion {
 		d.Node.Send(to, datagram)
 		return
 	}
-	d.fleet.crossed.Add(1)
-	d.fleet.crossedBytes.Add(int64(len(datagram)))
-	time.AfterFunc(farWay, func() { d.Node.Send(to, datagram) })
+	d.fleet.crossRegionDatagrams.Add(1)
+	d.fleet.crossRegionBytes.Add(int64(len(datagram)))
+	time.AfterFunc(crossRegionDelay, func() { d.Node.Send(to, datagram) })
 }
 
 var _ peerlink.Carrier = (*daemon)(nil)
@@ -107,8 +107,8 @@
 	}
 }
 
-// load lets all daemons know of requests under way at all back ends of a region.
-func (f *fleet) load(region identity.Region, requests int) {
+// setLoad sets the number of requests in flight at each back end of a region, as known to all daemons.
+func (f *fleet) setLoad(region identity.Region, requests int) {
 	for _, each := range f.daemons {
 		loads := map[uint64]backendpool.Load{}
 		for _, key := range each.pool.SampleRegion(region, 100) {
@@ -118,12 +118,12 @@
 	}
 }
 
-// TestLateAnswersServeLaterRequests has zones so far apart that answers come after the request that asked has gone on.
-// Within a quarter of a second each daemon knows the other region's room nevertheless.
+// TestLateAnswersServeLaterRequests places zones so far apart that answers arrive after the request that sent the
+// query has continued. Each daemon must still know the other region's capacity within a quarter of a second.
 func TestLateAnswersServeLaterRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(1, 2, 16)
-		fleet.zoneWay = answerTimeout
+		fleet.crossZoneDelay = answerTimeout
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		fleet.run(ctx)
@@ -131,16 +131,16 @@
 		for _, each := range fleet.daemons {
 			each.sharer.Rooms(ctx, "s")
 		}
-		time.Sleep(askAgainAfter + 50*time.Millisecond)
+		time.Sleep(minQueryInterval + 50*time.Millisecond)
 		for number, each := range fleet.daemons {
 			assert.Equal(t, len(each.sharer.Rooms(ctx, "s")), 1, "daemon %d", number)
 		}
 	})
 }
 
-// TestRoomsOfOtherRegionsAreKnown lets daemons of 1, 2 and 6 regions tell: within a second each
-// daemon that asks is told all other regions' rooms, though datagrams are lost.
-func TestRoomsOfOtherRegionsAreKnown(t *testing.T) {
+// TestCapacityOfOtherRegionsIsKnown runs fleets of 1, 2 and 6 regions with datagram loss. Within a second each
+// daemon must be able to query the capacity of all other regions.
+func TestCapacityOfOtherRegionsIsKnown(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed, regions := rapid.Uint64().Draw(rt, "seed"), rapid.SampledFrom([]int{1, 2, 6}).Draw(rt, "regions")
 		loss := rapid.Float64Range(0, 0.05).Draw(rt, "loss")
@@ -150,7 +150,7 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			fleet.network.Lose(loss)
-			fleet.load(regionOf(0), slots)
+			fleet.setLoad(regionOf(0), slots)
 			fleet.run(ctx)
 			time.Sleep(time.Second)
 			fleet.network.Lose(0)
@@ -175,9 +175,9 @@
 	})
 }
 
-// TestRegionOutOfReachIsForgotten cuts a region off: soon nobody counts on its room, and it is
-// back soon after the cut.
-func TestRegionOutOfReachIsForgotten(t *testing.T) {
+// TestUnreachableRegionExpires partitions a region. Its capacity must expire soon, and must be known again soon
+// after the partition ends.
+func TestUnreachableRegionExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(1, 2, 8)
 		fleet.run(t.Context())
@@ -192,44 +192,45 @@
 			}
 		}
 		cut(true)
-		time.Sleep(forgetAfter + tellInterval)
+		time.Sleep(reportTTL + sendInterval)
 		assert.Equal(t, len(asking.sharer.Rooms(t.Context(), "s")), 0)
 		cut(false)
-		time.Sleep(2 * tellInterval)
+		time.Sleep(2 * sendInterval)
 		assert.Equal(t, len(asking.sharer.Rooms(t.Context(), "s")), 1)
 	})
 }
 
-// TestLostTellerIsNoLoss stops one of two daemons that tell for a region.
-func TestLostTellerIsNoLoss(t *testing.T) {
+// TestExchangerFailureIsTolerated stops one of the two exchangers of a region. The other regions must still know
+// its capacity.
+func TestExchangerFailureIsTolerated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(1, 2, 8)
 		fleet.run(t.Context())
-		lost := fleet.daemons[0].sharer.tellers(regionOf(1))[0]
+		lost := fleet.daemons[0].sharer.exchangers(regionOf(1))[0]
 		for _, each := range fleet.daemons {
 			each.SetDown(each.Address() == lost)
 		}
 		time.Sleep(time.Second)
 		for _, each := range fleet.daemons {
-			if each.Address() != lost && each.sharer.own == regionOf(0) {
+			if each.Address() != lost && each.sharer.ownRegion == regionOf(0) {
 				assert.Equal(t, len(each.sharer.Rooms(t.Context(), "s")), 1)
 			}
 		}
 	})
 }
 
-// TestAnswerWithoutRoomsIsNotTheLast asks two daemons of which the quicker one has heard nothing, as
-// one that has just started: the other one's answer counts.
-func TestAnswerWithoutRoomsIsNotTheLast(t *testing.T) {
+// TestEmptyAnswerDoesNotEndQuery makes the exchanger that answers first know no reports, as after a restart. The
+// answer of the other exchanger must be used.
+func TestEmptyAnswerDoesNotEndQuery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(1, 2, 12)
 		fleet.run(t.Context())
-		time.Sleep(time.Second + tellInterval/2)
-		tellers := fleet.daemons[0].sharer.tellers(regionOf(0))
+		time.Sleep(time.Second + sendInterval/2)
+		tellers := fleet.daemons[0].sharer.exchangers(regionOf(0))
 		for _, each := range fleet.daemons {
 			if each.Address() == tellers[0] {
 				each.sharer.mutex.Lock()
-				clear(each.sharer.heard)
+				clear(each.sharer.reports)
 				each.sharer.mutex.Unlock()
 			}
 		}
@@ -241,7 +242,7 @@
 		})
 		asked := 0
 		for _, each := range fleet.daemons {
-			if each.sharer.own == regionOf(0) && !slices.Contains(tellers, each.Address()) {
+			if each.sharer.ownRegion == regionOf(0) && !slices.Contains(tellers, each.Address()) {
 				asked++
 				assert.Equal(t, len(each.sharer.Rooms(t.Context(), "s")), 1)
 			}
@@ -250,9 +251,9 @@
 	})
 }
 
-// TestDaemonWhoseZoneIsToldLaterIsPlaced lets a daemon be heard of before its zone: once the list of
-// daemons is told anew with the zone, it is counted in its region.
-func TestDaemonWhoseZoneIsToldLaterIsPlaced(t *testing.T) {
+// TestRegionFollowsLaterZone has a daemon become known before its zone. Once the list of daemons is replaced after
+// the zone is known, the daemon must count in its region.
+func TestRegionFollowsLaterZone(t *testing.T) {
 	fleet := newFleet(1, 2, 8)
 	sharer := fleet.daemons[0].sharer
 	late := fleet.daemons[7].Address()
@@ -265,9 +266,9 @@
 	assert.Equal(t, len(sharer.byRegion()[regionOf(1)]), 4)
 }
 
-// TestLittleCrossesBorders counts what 60 daemons of 3 regions tell while all ask all the time: that
-// grows neither with the daemons, nor with what they ask.
-func TestLittleCrossesBorders(t *testing.T) {
+// TestCrossRegionTrafficIsBounded counts the traffic of 60 daemons in 3 regions that query continuously. It must
+// depend neither on the number of daemons nor on that of queries.
+func TestCrossRegionTrafficIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(1, 3, 60)
 		fleet.run(t.Context())
@@ -277,20 +278,20 @@
 				each.sharer.Rooms(t.Context(), "s")
 			}
 		}
-		const regions, tellers, hearers, bytes = 3, tellersEach, 2 * tellersEach, 160
-		most := regions * tellers * hearers * int64(time.Since(began)/tellInterval+1)
-		assert.Assert(t, fleet.crossed.Load() <= most, "%d datagrams, %d at most", fleet.crossed.Load(), most)
-		assert.Assert(t, fleet.crossedBytes.Load() <= bytes*most, "%d bytes", fleet.crossedBytes.Load())
+		const regions, tellers, hearers, bytes = 3, exchangersPerRegion, 2 * exchangersPerRegion, 160
+		maxDatagrams := regions * tellers * hearers * int64(time.Since(began)/sendInterval+1)
+		assert.Assert(t, fleet.crossRegionDatagrams.Load() <= maxDatagrams, "%d datagrams, %d at most", fleet.crossRegionDatagrams.Load(), maxDatagrams)
+		assert.Assert(t, fleet.crossRegionBytes.Load() <= bytes*maxDatagrams, "%d bytes", fleet.crossRegionBytes.Load())
 	})
 }
 
-// TestOneRegionTellsNothing has nothing to tell.
-func TestOneRegionTellsNothing(t *testing.T) {
+// TestSingleRegionSendsNothing checks that a fleet in a single region sends no reports and knows none.
+func TestSingleRegionSendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(1, 1, 20)
 		fleet.run(t.Context())
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, fleet.crossed.Load(), int64(0))
+		assert.Equal(t, fleet.crossRegionDatagrams.Load(), int64(0))
 		assert.Equal(t, len(fleet.daemons[0].sharer.Rooms(t.Context(), "s")), 0)
 	})
 }
--- a/internal/roomshare/wire_test.go
+++ b/internal/roomshare/wire_test.go
@@ -6,9 +6,9 @@
 	"github.com/lotusward/lotusward/internal/wiretest"
 )
 
-// TestOtherBuildsAreUnderstood holds what passes to other builds to the bytes that they write.
+// TestOtherBuildsAreUnderstood checks that messages match the recorded bytes of other builds.
 func TestOtherBuildsAreUnderstood(t *testing.T) {
-	wiretest.Datagram[toldMessage](t, "room", nil)
+	wiretest.Datagram[capacityMessage](t, "room", nil)
 	wiretest.Datagram[questionMessage](t, "room_question", nil)
 	wiretest.Datagram[answerMessage](t, "room_answer", nil)
 }
