--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -1,7 +1,6 @@
-// Package loadshare lets daemons tell each other what they have under way at each
-// back end, where they sent the shared parts of prompts and which back ends they could
-// not reach, several times a second, in single datagrams that may be lost. A daemon that isn't heard of for a moment
-// counts as having nothing under way.
+// Package loadshare exchanges, between daemons, their loads at each back end, the locations of shared prompt parts
+// and reports of back ends that could not be reached. They are sent several times a second in single datagrams,
+// which may be lost. A daemon that was not heard from for a moment counts as having no load.
 package loadshare
 
 import (
@@ -21,43 +20,42 @@
 	"github.com/lotusward/lotusward/internal/peerlink"
 )
 
-// Times and sizes.
 const (
 	sendInterval = 100 * time.Millisecond
-	// idleInterval is how often a load that doesn't change is told.
-	idleInterval = 400 * time.Millisecond
-	// forgetAfter is how long what a daemon told counts.
-	forgetAfter = time.Second
-	// MaxLoadPeers is how many other daemons there may be for all to tell all of loads.
-	// Among more, where large parts of prompts are is still told to all, since it is told
-	// once.
+	// unchangedInterval is how often unchanged loads are sent.
+	unchangedInterval = 400 * time.Millisecond
+	// reportTTL is how long the loads reported by a daemon are valid.
+	reportTTL = time.Second
+	// MaxLoadPeers is the maximum number of other daemons for which loads are broadcast. In larger fleets the
+	// locations of large prompt parts are still broadcast, since each is sent only once.
 	MaxLoadPeers = 12
-	// MaxPartPeers is how many other daemons there may be for all to tell all where large parts of prompts are. Among more,
-	// the facts of a few requests a second fill the bound on bytes; homes of the parts are told then.
+	// MaxPartPeers is the maximum number of other daemons for which the locations of large prompt parts are
+	// broadcast. In larger fleets the facts of a few requests per second would use up the bandwidth limit, so they
+	// are sent to the homes of the parts.
 	MaxPartPeers = 128
-	// aliveTargets is how many of many daemons hear in each turn that this one is there.
-	aliveTargets = 4
-	// bytesPerSecond bounds what is sent. Where it isn't enough for all targets of a
-	// turn, some are left out. Where there are many daemons, factShare of it is for what
-	// is told to all.
-	bytesPerSecond = 36 << 10
-	burstBytes     = 48 << 10
-	factShare      = 0.7
-	// MaxLoads bounds the back ends of which loads are told at a time.
+	// heartbeatTargets is how many other daemons of a large fleet receive a message in each round, as a sign that
+	// this daemon is alive.
+	heartbeatTargets = 4
+	// bytesPerSecond limits the bandwidth. If it does not suffice for all targets of a round, some are skipped. In
+	// a large fleet broadcasts are limited to factBandwidthShare of it.
+	bytesPerSecond     = 36 << 10
+	burstBytes         = 48 << 10
+	factBandwidthShare = 0.7
+	// MaxLoads limits the number of back ends whose loads are sent at a time.
 	MaxLoads = 256
-	// gatherTime is for how long large parts are gathered where there are many daemons: a
-	// datagram's frame and name are as long as some facts.
-	gatherTime = 300 * time.Millisecond
+	// batchTime is how long facts about large parts are collected into one datagram in a large fleet: the frame
+	// and name of a datagram are as long as some facts.
+	batchTime = 300 * time.Millisecond
 )
 
-// message is one datagram's body.
+// message is the body of a datagram.
 type message struct {
 	Loads  []CompactLoad
 	Facts  []fact
 	Doubts []backendpool.FailureReport
 }
 
-// CompactLoad is a load in whole numbers, which are shorter.
+// CompactLoad is the wire form of a load, in integers, which are shorter.
 type CompactLoad struct {
 	Key      uint64
 	InFlight uint32
@@ -65,12 +63,12 @@
 	Tokens   uint32
 }
 
-// Compact rounds a load to whole numbers.
+// Compact returns the wire form of a load, truncated to integers.
 func Compact(load backendpool.Load) CompactLoad {
 	return CompactLoad{Key: load.Key, InFlight: uint32(load.InFlight), Reading: uint32(load.Reading), Tokens: uint32(load.Tokens)}
 }
 
-// Load is the load that was made compact.
+// Load returns the load that c encodes.
 func (c CompactLoad) Load() backendpool.Load {
 	return backendpool.Load{Key: c.Key, InFlight: float64(c.InFlight), Reading: float64(c.Reading), Tokens: float64(c.Tokens)}
 }
@@ -82,15 +80,15 @@
 	Dropped bool
 }
 
-func newMessage(loads []backendpool.Load, facts []promptcache.Fact, doubts []backendpool.FailureReport) *message {
-	told := &message{Doubts: doubts}
+func newMessage(loads []backendpool.Load, facts []promptcache.Fact, failures []backendpool.FailureReport) *message {
+	created := &message{Doubts: failures}
 	for _, each := range loads {
-		told.Loads = append(told.Loads, Compact(each))
+		created.Loads = append(created.Loads, Compact(each))
 	}
 	for _, each := range facts {
-		told.Facts = append(told.Facts, fact{Part: each.Part, Backend: each.Backend, Read: each.Read, Dropped: each.Dropped})
+		created.Facts = append(created.Facts, fact{Part: each.Part, Backend: each.Backend, Read: each.Read, Dropped: each.Dropped})
 	}
-	return told
+	return created
 }
 
 func (m *message) loads() []backendpool.Load {
@@ -109,47 +107,48 @@
 	return facts
 }
 
-// Options are what a Sharer works with.
+// Options configures a Sharer.
 type Options struct {
 	Link *peerlink.Link
 	// Others returns the addresses of the other daemons.
 	Others func() []string
 	Pool   *backendpool.Pool
 	Memory *promptcache.Memory
-	// PublishParts tells homes of parts of prompts where these are, among more than MaxPartPeers others; nil tells all.
+	// PublishParts sends the locations of prompt parts to the homes of the parts. It is called instead of
+	// broadcasting them if there are more than MaxPartPeers other daemons. If nil, they are always broadcast.
 	PublishParts func(facts []promptcache.Fact)
 }
 
-// Sharer tells and hears loads.
+// Sharer sends and receives loads, facts and failure reports.
 type Sharer struct {
 	options Options
-	// limiter bounds all bytes where there are few daemons, and those of loads alone where
-	// there are many; factLimiter then bounds the others.
+	// limiter limits all traffic in a small fleet. In a large fleet it limits the messages to single daemons, and
+	// factLimiter the broadcasts.
 	limiter, factLimiter *rate.Limiter
 	mutex                sync.Mutex
-	heard                map[string]heardLoads
-	// told are the loads that were told last, at toldAt; next counts the daemons told;
-	// gathered wait to be told to all, which was last done at toldAllAt. They belong to the
-	// goroutine of Run.
-	told      []backendpool.Load
-	toldAt    time.Time
-	next      int
-	gathered  []promptcache.Fact
-	toldAllAt time.Time
+	reports              map[string]loadReport
+	// The fields below are used only by the goroutine of Run. lastLoads are the loads sent last, at lastLoadsAt.
+	// nextTarget counts the messages sent, to rotate through the daemons. batchedFacts wait for the next
+	// broadcast; the last one was at lastBroadcastAt.
+	lastLoads       []backendpool.Load
+	lastLoadsAt     time.Time
+	nextTarget      int
+	batchedFacts    []promptcache.Fact
+	lastBroadcastAt time.Time
 }
 
-// heardLoads is what one daemon told last.
-type heardLoads struct {
+// loadReport is the last report of one daemon.
+type loadReport struct {
 	at    time.Time
 	loads []backendpool.Load
 }
 
-// New makes a Sharer that hears of loads, and tells of its own once it runs.
+// New creates a Sharer and registers its message handlers. Own loads are sent while Run is active.
 func New(options Options) *Sharer {
-	made := &Sharer{options: options, limiter: rate.NewLimiter(bytesPerSecond, burstBytes), factLimiter: rate.NewLimiter(factShare*bytesPerSecond, burstBytes), heard: map[string]heardLoads{}}
+	made := &Sharer{options: options, limiter: rate.NewLimiter(bytesPerSecond, burstBytes), factLimiter: rate.NewLimiter(factBandwidthShare*bytesPerSecond, burstBytes), reports: map[string]loadReport{}}
 	peerlink.HandleDecoded(options.Link, peerlink.KindLoads, made.receive)
 	peerlink.HandleDecoded(options.Link, peerlink.KindFacts, made.receiveFacts)
-	made.next = rand.IntN(math.MaxInt32)
+	made.nextTarget = rand.IntN(math.MaxInt32)
 	return made
 }
 
@@ -159,37 +158,37 @@
 	return nil
 }
 
-// share takes in what was heard, and tells what this daemon has under way if that changed.
+// share applies the received loads, and sends the own ones if they changed.
 func (s *Sharer) share(now time.Time) {
 	if len(s.options.Others()) > MaxLoadPeers {
-		s.shareAmongMany(now)
+		s.shareInLargeFleet(now)
 		return
 	}
-	s.options.Pool.SetOthersLoad(s.merge(now), true)
+	s.options.Pool.SetOthersLoad(s.sumReports(now), true)
 	loads := s.options.Pool.Loads(MaxLoads)
-	facts, doubts := s.options.Memory.Untold(), s.options.Pool.TakeFailureReports()
-	if len(facts)+len(doubts) == 0 && slices.Equal(loads, s.told) && now.Sub(s.toldAt) < idleInterval {
+	facts, failures := s.options.Memory.Untold(), s.options.Pool.TakeFailureReports()
+	if len(facts)+len(failures) == 0 && slices.Equal(loads, s.lastLoads) && now.Sub(s.lastLoadsAt) < unchangedInterval {
 		return
 	}
-	s.told, s.toldAt = loads, now
-	s.send(s.limiter, peerlink.KindLoads, newMessage(loads, facts, doubts), MaxLoadPeers)
+	s.lastLoads, s.lastLoadsAt = loads, now
+	s.send(s.limiter, peerlink.KindLoads, newMessage(loads, facts, failures), MaxLoadPeers)
 }
 
-// shareAmongMany tells of parts and doubts alone; package loadhome is for the loads then. A
-// few other daemons hear each turn that this one is there.
-func (s *Sharer) shareAmongMany(now time.Time) {
-	large, few := split(s.options.Memory.Untold())
-	doubts := s.options.Pool.TakeFailureReports()
+// shareInLargeFleet sends only facts and failure reports; package loadhome handles the loads in a large fleet. In
+// each round a few other daemons receive a message as a sign of life.
+func (s *Sharer) shareInLargeFleet(now time.Time) {
+	large, few := splitByAudience(s.options.Memory.Untold())
+	failures := s.options.Pool.TakeFailureReports()
 	if len(s.options.Others()) > MaxPartPeers && s.options.PublishParts != nil {
 		s.options.PublishParts(large)
-		large, doubts = nil, nil // homes of the back ends keep what is found out of them
+		large, failures = nil, nil // the homes of back ends distribute findings
 	}
-	s.tellAll(now, large, doubts)
-	s.send(s.limiter, peerlink.KindLoads, newMessage(nil, few, nil), aliveTargets)
+	s.broadcastFacts(now, large, failures)
+	s.send(s.limiter, peerlink.KindLoads, newMessage(nil, few, nil), heartbeatTargets)
 }
 
-// split parts facts into those of large parts, for all daemons, and those for a few.
-func split(facts []promptcache.Fact) (large, few []promptcache.Fact) {
+// splitByAudience separates the facts about large parts, which go to all daemons, from those that go to a few.
+func splitByAudience(facts []promptcache.Fact) (large, few []promptcache.Fact) {
 	for _, fact := range facts {
 		if fact.ForAll() {
 			large = append(large, fact)
@@ -200,21 +199,21 @@
 	return large, few
 }
 
-// tellAll tells all of many daemons of doubts and of large parts, without the loads, which
-// are longer and told again soon. Parts are gathered for a moment.
-func (s *Sharer) tellAll(now time.Time, large []promptcache.Fact, doubts []backendpool.FailureReport) {
-	s.gathered = append(s.gathered, large...)
-	early := now.Sub(s.toldAllAt) < gatherTime
-	if len(doubts) == 0 && (len(s.gathered) == 0 || early) {
+// broadcastFacts sends failure reports and facts about large parts to all daemons. Loads are not included, as they
+// are longer and soon sent again. Facts are batched for batchTime unless there are failure reports to send.
+func (s *Sharer) broadcastFacts(now time.Time, large []promptcache.Fact, failures []backendpool.FailureReport) {
+	s.batchedFacts = append(s.batchedFacts, large...)
+	batching := now.Sub(s.lastBroadcastAt) < batchTime
+	if len(failures) == 0 && (len(s.batchedFacts) == 0 || batching) {
 		return
 	}
-	s.send(s.factLimiter, peerlink.KindFacts, newMessage(nil, s.gathered, doubts), len(s.options.Others()))
-	s.gathered, s.toldAllAt = nil, now
+	s.send(s.factLimiter, peerlink.KindFacts, newMessage(nil, s.batchedFacts, failures), len(s.options.Others()))
+	s.batchedFacts, s.lastBroadcastAt = nil, now
 }
 
-// send tells the next ones of the other daemons, within the bound on bytes.
-func (s *Sharer) send(limiter *rate.Limiter, kind peerlink.Kind, told *message, count int) {
-	datagram, fits := s.options.Link.Encode(kind, told)
+// send sends a message to the next daemons in rotation, within the bandwidth limit.
+func (s *Sharer) send(limiter *rate.Limiter, kind peerlink.Kind, content *message, count int) {
+	datagram, fits := s.options.Link.Encode(kind, content)
 	others := s.options.Others()
 	if !fits || len(others) == 0 {
 		return
@@ -223,39 +222,39 @@
 		if !limiter.AllowN(clock.Now(), len(datagram)) {
 			return
 		}
-		s.options.Link.Send(others[s.next%len(others)], datagram)
-		s.next++
+		s.options.Link.Send(others[s.nextTarget%len(others)], datagram)
+		s.nextTarget++
 	}
 }
 
-// receive hears another daemon's loads, and what came with them.
+// receive records the loads of another daemon and applies the facts and failure reports sent along with them.
 func (s *Sharer) receive(from string, got message) {
 	s.receiveFacts(from, got)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.heard[from] = heardLoads{at: clock.Now(), loads: got.loads()}
+	s.reports[from] = loadReport{at: clock.Now(), loads: got.loads()}
 }
 
-// receiveFacts hears of parts and doubts alone.
+// receiveFacts applies facts and failure reports.
 func (s *Sharer) receiveFacts(from string, got message) {
 	now := clock.Now()
 	s.options.Memory.Heard(now, got.facts())
 	s.options.Pool.ReceiveFailureReports(now, from, got.Doubts)
 }
 
-// merge adds up what was heard lately.
-func (s *Sharer) merge(now time.Time) map[uint64]backendpool.Load {
+// sumReports returns the sums of the recently reported loads.
+func (s *Sharer) sumReports(now time.Time) map[uint64]backendpool.Load {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	merged := map[uint64]backendpool.Load{}
-	for from, told := range s.heard {
-		if now.Sub(told.at) > forgetAfter {
-			delete(s.heard, from)
+	sums := map[uint64]backendpool.Load{}
+	for from, report := range s.reports {
+		if now.Sub(report.at) > reportTTL {
+			delete(s.reports, from)
 			continue
 		}
-		for _, load := range told.loads {
-			merged[load.Key] = merged[load.Key].Add(load)
+		for _, load := range report.loads {
+			sums[load.Key] = sums[load.Key].Add(load)
 		}
 	}
-	return merged
+	return sums
 }
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -18,7 +18,7 @@
 	"github.com/lotusward/lotusward/internal/peerlink"
 )
 
-// daemon is a sharer with its pool and memory.
+// daemon is the pool and memory of a running Sharer.
 type daemon struct {
 	pool   *backendpool.Pool
 	memory *promptcache.Memory
@@ -46,73 +46,73 @@
 	return made
 }
 
-var heavy = backendpool.Query{Service: "s", Model: "m", Home: 1, OwnTokens: 5000}
+var largeQuery = backendpool.Query{Service: "s", Model: "m", Home: 1, OwnTokens: 5000}
 
-// TestLoadsAndFactsReachOthers lets one daemon avoid what another has filled, learn
-// where shared parts went, and forget the load once the other is gone.
-func TestLoadsAndFactsReachOthers(t *testing.T) {
+// TestLoadsAndFactsPropagate checks that a daemon avoids the back end that another has loaded, learns the
+// locations of prompt parts, and drops the load once the other daemon has stopped.
+func TestLoadsAndFactsPropagate(t *testing.T) {
 	first, second := freeporttest.Address(t), freeporttest.Address(t)
 	one := startDaemon(t, first, second)
 	two := startDaemon(t, second, first)
 	now := time.Now()
-	taken := one.pool.Pick(now, heavy)
+	taken := one.pool.Pick(now, largeQuery)
 	key := promptcache.KeyOf("v1", "part")
 	one.memory.Sent(now, promptcache.Fact{Part: key, Backend: taken.Key}, 1, 1)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		ticket := two.pool.Pick(time.Now(), heavy)
+		ticket := two.pool.Pick(time.Now(), largeQuery)
 		defer ticket.Release(time.Now(), backendpool.ResultServed)
 		if ticket.Backend.ID != taken.Backend.ID && len(two.memory.Holders(time.Now(), key).Reading) == 1 {
 			return poll.Success()
 		}
-		return poll.Continue("the load is not heard of")
+		return poll.Continue("the load has not arrived")
 	})
 	one.cancel()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		ticket := two.pool.Pick(time.Now(), heavy)
+		ticket := two.pool.Pick(time.Now(), largeQuery)
 		defer ticket.Release(time.Now(), backendpool.ResultServed)
 		if ticket.Backend.ID == taken.Backend.ID {
 			return poll.Success()
 		}
-		return poll.Continue("the load is not forgotten")
+		return poll.Continue("the load has not expired")
 	})
 }
 
-// TestHeardLoadsAddUp adds up what daemons told last, and forgets those that fell silent.
-func TestHeardLoadsAddUp(t *testing.T) {
+// TestReportsAreSummed checks that the last reports of all daemons are added up and that expired ones are removed.
+func TestReportsAreSummed(t *testing.T) {
 	others := make([]string, MaxLoadPeers)
 	sharer := New(Options{Link: peerlink.New("127.0.0.1:1", logging.Discard()), Others: func() []string { return others }})
 	now := time.Now()
 	for _, name := range []string{"a", "b"} {
-		sharer.heard[name] = heardLoads{at: now, loads: []backendpool.Load{{Key: 1, InFlight: 3, Reading: 10}}}
+		sharer.reports[name] = loadReport{at: now, loads: []backendpool.Load{{Key: 1, InFlight: 3, Reading: 10}}}
 	}
-	sharer.heard["old"] = heardLoads{at: now.Add(-2 * forgetAfter), loads: []backendpool.Load{{Key: 1, InFlight: 99}}}
-	assert.DeepEqual(t, sharer.merge(now), map[uint64]backendpool.Load{1: {Key: 1, InFlight: 6, Reading: 20}})
-	assert.Equal(t, len(sharer.heard), 2)
+	sharer.reports["old"] = loadReport{at: now.Add(-2 * reportTTL), loads: []backendpool.Load{{Key: 1, InFlight: 99}}}
+	assert.DeepEqual(t, sharer.sumReports(now), map[uint64]backendpool.Load{1: {Key: 1, InFlight: 6, Reading: 20}})
+	assert.Equal(t, len(sharer.reports), 2)
 }
 
-// TestDoubtsReachOthers takes a back end out everywhere once one daemon finds another
-// at its address.
-func TestDoubtsReachOthers(t *testing.T) {
+// TestFailureReportsPropagate has one daemon find a different back end at an address. Other daemons must stop
+// selecting the back end too.
+func TestFailureReportsPropagate(t *testing.T) {
 	first, second := freeporttest.Address(t), freeporttest.Address(t)
 	one := startDaemon(t, first, second)
 	two := startDaemon(t, second, first)
-	taken := one.pool.Pick(time.Now(), heavy)
+	taken := one.pool.Pick(time.Now(), largeQuery)
 	taken.Release(time.Now(), backendpool.ResultReplaced)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for range 8 {
-			ticket := two.pool.Pick(time.Now(), heavy)
+			ticket := two.pool.Pick(time.Now(), largeQuery)
 			ticket.Release(time.Now(), backendpool.ResultAbandoned)
 			if ticket.Backend.ID == taken.Backend.ID {
-				return poll.Continue("the doubt is not heard of")
+				return poll.Continue("the failure report has not arrived")
 			}
 		}
 		return poll.Success()
 	})
 }
 
-// TestLargePartsReachAllOfManyDaemons tells each of many daemons where large parts are,
-// though requests begin at hundreds of back ends beside it.
-func TestLargePartsReachAllOfManyDaemons(t *testing.T) {
+// TestLargePartsAreBroadcastInLargeFleet checks that every daemon of a large fleet learns the locations of large
+// prompt parts while requests start at hundreds of back ends.
+func TestLargePartsAreBroadcastInLargeFleet(t *testing.T) {
 	const (
 		others = 60
 		parts  = 20
@@ -143,7 +143,7 @@
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for _, key := range keys {
 			if len(two.memory.Holders(time.Now(), key).Read) == 0 {
-				return poll.Continue("a part is not heard of")
+				return poll.Continue("the location of a part has not arrived")
 			}
 		}
 		return poll.Success()
--- a/internal/loadshare/wire_test.go
+++ b/internal/loadshare/wire_test.go
@@ -6,7 +6,7 @@
 	"github.com/lotusward/lotusward/internal/wiretest"
 )
 
-// TestOtherBuildsAreUnderstood holds what passes to other builds to the bytes that they write.
+// TestOtherBuildsAreUnderstood checks that messages match the recorded bytes of other builds.
 func TestOtherBuildsAreUnderstood(t *testing.T) {
 	wiretest.Datagram[message](t, "loads", nil)
 }
