--- a/internal/loadhome/parts_test.go
+++ b/internal/loadhome/parts_test.go
@@ -13,10 +13,11 @@
 	"github.com/lotusward/lotusward/internal/loadshare"
 )
 
-// TestPartsAreFoundAtTheirHomes has each daemon of a large fleet send some parts to back ends: whoever asks for one learns
-// where it is, and what each daemon sends and hears goes by its own parts alone, not by the fleet.
-func TestPartsAreFoundAtTheirHomes(t *testing.T) {
-	for _, count := range []int{loadshare.MaximumTold + 10, 300} {
+// TestPartsAreFoundThroughHomes has each daemon of a large fleet send some prompt parts to back ends. Any daemon
+// that asks for a part must learn its location, and the number of datagrams must be proportional to the parts, not
+// to the fleet size.
+func TestPartsAreFoundThroughHomes(t *testing.T) {
+	for _, count := range []int{loadshare.MaxPartPeers + 10, 300} {
 		synctest.Test(t, func(t *testing.T) {
 			sent := 0
 			fleet := newFleet(1, count)
@@ -29,11 +30,11 @@
 			for number, daemon := range fleet.daemons {
 				for part := range each {
 					daemon.homes.options.Memory.RecordRead(time.Now(), fact(number, part))
-					daemon.homes.NoteParts([]promptcache.Fact{fact(number, part)})
+					daemon.homes.PublishParts([]promptcache.Fact{fact(number, part)})
 				}
 			}
 			time.Sleep(50 * time.Millisecond)
-			assert.Assert(t, sent <= count*each*homesEach, "%d datagrams", sent)
+			assert.Assert(t, sent <= count*each*homesPerKey, "%d datagrams", sent)
 			for number := range fleet.daemons {
 				asking := fleet.daemons[(number+count/2)%count]
 				key := fact(number, number%each).Part
--- a/internal/relay/regions.go
+++ b/internal/relay/regions.go
@@ -16,7 +16,7 @@
 type Rooms interface {
 	// Rooms returns the capacity of a service in each reachable other region. It may query other
 	// daemons.
-	Rooms(ctx context.Context, service identity.ServiceName) []roomshare.RoomReport
+	Rooms(ctx context.Context, service identity.ServiceName) []roomshare.CapacityReport
 }
 
 // tryRegions reserves a slot at a backend in the region with the lowest cost. If that can only be
@@ -147,7 +147,7 @@
 		region := &regions[index]
 		for _, room := range reports {
 			if room.Region == region.Region && !region.Local {
-				region.RegionCapacity, region.Known, region.ReportedAt, region.DaemonsOutside = room.RegionCapacity, true, room.At, room.Outside
+				region.RegionCapacity, region.Known, region.ReportedAt, region.DaemonsOutside = room.RegionCapacity, true, room.At, room.DaemonsOutside
 				region.Free = room.Free(query.Limits, query.SharedTokens+query.OwnTokens)
 			}
 		}
@@ -157,14 +157,14 @@
 
 // remoteRooms returns the capacity of other regions: as reported by them or, if each daemon knows
 // all loads, as computed from this daemon's own view.
-func (r *run) remoteRooms(ctx context.Context, query backendpool.Query) []roomshare.RoomReport {
+func (r *run) remoteRooms(ctx context.Context, query backendpool.Query) []roomshare.CapacityReport {
 	options := r.relay.options
 	if options.Rooms != nil && options.Loads != nil && options.Loads.Needed() {
 		return options.Rooms.Rooms(ctx, query.Service)
 	}
-	var reports []roomshare.RoomReport
+	var reports []roomshare.CapacityReport
 	for _, room := range options.Pool.RegionCapacities(r.now(), query.Service) {
-		reports = append(reports, roomshare.RoomReport{RegionCapacity: room, At: r.now(), Outside: options.Daemons()})
+		reports = append(reports, roomshare.CapacityReport{RegionCapacity: room, At: r.now(), DaemonsOutside: options.Daemons()})
 	}
 	return reports
 }
--- a/internal/relay/regions_test.go
+++ b/internal/relay/regions_test.go
@@ -20,19 +20,19 @@
 // fakeRooms returns fixed capacity reports.
 type fakeRooms struct {
 	mutex   sync.Mutex
-	reports []roomshare.RoomReport
+	reports []roomshare.CapacityReport
 	asked   int
 }
 
 // setReports replaces the reports.
-func (f *fakeRooms) setReports(reports ...roomshare.RoomReport) {
+func (f *fakeRooms) setReports(reports ...roomshare.CapacityReport) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.reports = reports
 }
 
 // Rooms implements Rooms.
-func (f *fakeRooms) Rooms(context.Context, identity.ServiceName) []roomshare.RoomReport {
+func (f *fakeRooms) Rooms(context.Context, identity.ServiceName) []roomshare.CapacityReport {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.asked++
@@ -76,8 +76,8 @@
 	w.pool.SetOthersLoad(loads, false)
 }
 
-func roomReport(region identity.Region, free float64) roomshare.RoomReport {
-	return roomshare.RoomReport{RegionCapacity: backendpool.RegionCapacity{Region: region, Backends: free, Slots: free}, At: time.Now(), Outside: 1}
+func roomReport(region identity.Region, free float64) roomshare.CapacityReport {
+	return roomshare.CapacityReport{RegionCapacity: backendpool.RegionCapacity{Region: region, Backends: free, Slots: free}, At: time.Now(), DaemonsOutside: 1}
 }
 
 var streamingRoute = routing.Route{Kind: routing.KindStreaming, MaxAttempts: 1, TargetLatency: 300 * time.Millisecond}
@@ -105,7 +105,7 @@
 func TestFullRegionOverflowsToFreeRegion(t *testing.T) {
 	fixture, rooms := newRegionFixture(streamingRoute, "a", "b", "c")
 	fixture.fillFirst(1)
-	rooms.reports = []roomshare.RoomReport{roomReport("region-b", 0), roomReport("region-c", 4)}
+	rooms.reports = []roomshare.CapacityReport{roomReport("region-b", 0), roomReport("region-c", 4)}
 	assert.Equal(t, fixture.ask(longPrompt).body.String(), eventsText(1, 3))
 	assert.Equal(t, fixture.sentTo(), identity.BackendID("b2"))
 }
@@ -113,7 +113,7 @@
 // TestRequestWaitsWithoutRemoteCapacity checks that a request waits in its own region while no
 // other region reports free capacity.
 func TestRequestWaitsWithoutRemoteCapacity(t *testing.T) {
-	for _, heard := range [][]roomshare.RoomReport{nil, {roomReport("region-b", 0)}} {
+	for _, heard := range [][]roomshare.CapacityReport{nil, {roomReport("region-b", 0)}} {
 		fixture, rooms := newRegionFixture(streamingRoute, "a", "b")
 		fixture.fillFirst(1)
 		rooms.reports = heard
@@ -129,8 +129,8 @@
 	fixture, rooms := newRegionFixture(streamingRoute, "a", "b")
 	fixture.fillFirst(1)
 	room := roomReport("region-b", 5)
-	room.Outside = 5
-	rooms.reports = []roomshare.RoomReport{room}
+	room.DaemonsOutside = 5
+	rooms.reports = []roomshare.CapacityReport{room}
 	served := 0
 	for range 3 {
 		if fixture.ask(longPrompt).refusal == nil {
@@ -158,7 +158,7 @@
 func TestRegionChoicePrefersCachedPrompt(t *testing.T) {
 	for tokens, expected := range map[int]identity.BackendID{9000: "b1", 300: "b0"} {
 		fixture, rooms := newRegionFixture(streamingRoute, "a", "b")
-		rooms.reports = []roomshare.RoomReport{roomReport("region-b", 4)}
+		rooms.reports = []roomshare.CapacityReport{roomReport("region-b", 4)}
 		key := promptcache.KeyOf(cacheSalt(1, nil), "a")
 		fixture.relay.options.Memory.RecordHeld(time.Now(), promptcache.Fact{Part: key, Backend: rendezvous.Key("b1"), Tokens: tokens})
 		caller := fixture.ask(func(request *Request) {
@@ -200,7 +200,7 @@
 // TestNoLocalBackendAndFullRemoteIsBusy has no eligible backend in the own region and full ones
 // elsewhere. The request must be refused as busy, whether capacity is reported or not.
 func TestNoLocalBackendAndFullRemoteIsBusy(t *testing.T) {
-	for _, heard := range [][]roomshare.RoomReport{nil, {roomReport("region-b", 0)}} {
+	for _, heard := range [][]roomshare.CapacityReport{nil, {roomReport("region-b", 0)}} {
 		fixture, rooms := newRegionFixture(streamingRoute, "a", "b", "c")
 		fixture.fillFirst(3)
 		fixture.drainFirst()
--- a/internal/requestlog/requestlog.go
+++ b/internal/requestlog/requestlog.go
@@ -181,7 +181,7 @@
 		fields["limit_per_second"] = grant.Limit.RatePerSecond
 		fields["limit_configuration"] = grant.Limit.Version
 		fields["limit_by"] = grant.Grantor
-		fields["limit_own_part"] = grant.Own
+		fields["limit_own_part"] = grant.LocalShare
 		fields["limit_wait_ms"] = grant.Wait.Milliseconds()
 	}
 	if completion.FirstByte > 0 {
@@ -230,7 +230,7 @@
 	}
 	if grant := attempt.LimitGrant; grant != nil {
 		fields["backend_limit_by"] = grant.Grantor
-		fields["backend_limit_own_part"] = grant.Own
+		fields["backend_limit_own_part"] = grant.LocalShare
 	}
 	if replaced := attempt.Replaced; replaced != nil {
 		fields["weights_named"] = replaced.Bound.Newer
