--- a/internal/sharedlimit/limiter.go
+++ b/internal/sharedlimit/limiter.go
@@ -270,7 +270,7 @@
 func (l *Limiter) recordTimeout(address string, owner quota.Owner) {
 	if l.silence.Note(address, l.options.Now()) {
 		l.options.Log.WithFields(logrus.Fields{"daemon": address, "owner": owner}).
-			Warn("A daemon did not answer a limit request in time; the next one is asked.")
+			Warn("A daemon doesn't answer for a limit. The next one is asked.")
 	}
 }
 
