--- a/internal/core/regionchoice/choice_test.go
+++ b/internal/core/regionchoice/choice_test.go
@@ -42,11 +42,11 @@
 func TestOrderByRoomAndCost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := drawRegions(t)
-		hasOwn := regions[0].Local
+		hasLocal := regions[0].Local
 		found := Order(regions, true)
 		expected := 0
 		for _, region := range regions {
-			may := region.Local || !hasOwn || (region.Known && region.Free > 0)
+			may := region.Local || !hasLocal || (region.Known && region.Free > 0)
 			if may {
 				expected++
 			}
@@ -90,7 +90,7 @@
 }
 
 // TestRequestGoesElsewhereWhenQueueingCostsMore checks that a request goes to another region once
-// the queue in the local one costs more than the transfer, if both have the same prompts cached.
+// the queue in the local one costs more than the round trip, if both have the same prompts cached.
 func TestRequestGoesElsewhereWhenQueueingCostsMore(t *testing.T) {
 	for _, example := range []struct {
 		waiting float64
@@ -105,7 +105,7 @@
 }
 
 // TestUnlimitedRequestAvoidsFullRegion checks that a request without limits goes to another region
-// if all local slots are in use, even if the transfer costs more than waiting.
+// if all local slots are in use, even if the round trip costs more than waiting.
 func TestUnlimitedRequestAvoidsFullRegion(t *testing.T) {
 	regions := []Region{
 		{RegionCapacity: backendpool.RegionCapacity{Region: "own", Backends: 2, Slots: 12, InFlight: 12}, Local: true, Known: true},
