--- a/internal/rollout/standing.go
+++ b/internal/rollout/standing.go
@@ -8,13 +8,13 @@
 	"github.com/lotusward/lotusward/internal/peerlink"
 )
 
-// learn passes a standing that was written to the directory, in the background.
+// learn passes a standing that has been written to the store on to the directory, without waiting.
 func (c *Coordinator) learn(ctx context.Context, standing rollout.Standing) {
 	go c.options.Directory.Learn(ctx, standing)
 }
 
-// broadcastStanding broadcasts a standing that was written. Daemons that miss it learn of it from the answer to their
-// next report.
+// broadcastStanding broadcasts a standing that has been written to the store. Daemons that miss it get it with a
+// collector's answer to their next report (grantMessage.Standing).
 func (c *Coordinator) broadcastStanding(standing rollout.Standing) {
 	c.options.Broadcast(peerlink.KindVersionStanding, &standingMessage{Standing: standing})
 }
@@ -24,7 +24,8 @@
 	c.learn(ctx, got.Standing)
 }
 
-// post passes the result of a call to the goroutine of Run. It blocks while the inbox is full.
+// post passes an event, which records the outcome of a store or back-end call, to the goroutine of Run. Unlike
+// enqueue, it waits while the inbox is full. If ctx ends first, the event is dropped.
 func (c *Coordinator) post(ctx context.Context, event func(ctx context.Context, now time.Time)) {
 	select {
 	case c.inbox <- event:
