--- a/internal/core/backendpool/backend.go
+++ b/internal/core/backendpool/backend.go
@@ -105,8 +105,8 @@
 	// position is its position on the hash ring of its group. drawn is the number of the last sample that contains
 	// it.
 	position, drawn uint64
-	// listedAt is the sequence number of the list update that added the back end.
-	listedAt uint64
+	// listedInUpdate is the sequence number of the list update that added the back end.
+	listedInUpdate uint64
 	// lastReporter and lastReportedAt are the daemon that last reported the back end as unreachable, and when.
 	lastReporter   string
 	lastReportedAt time.Time
--- a/internal/core/backendpool/listing.go
+++ b/internal/core/backendpool/listing.go
@@ -12,30 +12,31 @@
 	return p.changeList(backends, func() []identity.BackendID { return p.unlisted(backends) })
 }
 
-// Apply changes the list incrementally: changed back ends are added or updated, gone ones are removed. The work for
-// each back end doesn't depend on the length of the list.
+// Apply changes the list incrementally: it adds or updates the changed back ends and removes the gone ones. It doesn't
+// look at the others, apart from keeping the ordered groups sorted (type group).
 func (p *Pool) Apply(changed []Backend, gone []identity.BackendID) Change {
 	return p.changeList(changed, func() []identity.BackendID { return gone })
 }
 
-// OnListChanged sets the callback for each change of the list, with the back ends added or updated and those
-// removed. It must be set before the pool is used, and must not block.
-func (p *Pool) OnListChanged(listed func(changed []Backend, gone []identity.BackendID)) {
-	p.onListChanged = listed
+// OnListChanged sets the callback for each call of Update and Apply. It gets the back ends of the new list (Update) or
+// of the change (Apply), and the IDs to be removed, some of which may not have been listed. It is called without the
+// mutex, must be set before the pool is used, and must not block.
+func (p *Pool) OnListChanged(callback func(changed []Backend, gone []identity.BackendID)) {
+	p.onListChanged = callback
 }
 
-// changeList changes the list, and invokes the callbacks for the change and for back ends that have ended. It calls
-// gone with the mutex held.
-func (p *Pool) changeList(changed []Backend, gone func() []identity.BackendID) Change {
+// changeList changes the list and invokes the callbacks: one for the change, and those of notifyEnded for each back end
+// that was removed or whose address another back end has taken over. It calls removedIDs with the mutex held.
+func (p *Pool) changeList(changed []Backend, removedIDs func() []identity.BackendID) Change {
 	p.mutex.Lock()
-	ids := gone()
-	done, ended := p.apply(changed, ids)
+	gone := removedIDs()
+	change, ended := p.apply(changed, gone)
 	p.mutex.Unlock()
-	p.onListChanged(changed, ids)
+	p.onListChanged(changed, gone)
 	for _, each := range ended {
 		p.notifyEnded(each)
 	}
-	return done
+	return change
 }
 
 // unlisted returns the known back ends that a complete list lacks. The caller holds the mutex.
@@ -53,8 +54,8 @@
 	return gone
 }
 
-// apply returns what changed, and the back ends that are no longer listed or whose address now belongs to another
-// one. The caller holds the mutex.
+// apply adds or updates the changed back ends and removes the gone ones. It returns the effects, and the back ends that
+// were removed or whose address now belongs to another back end. The caller holds the mutex.
 func (p *Pool) apply(changed []Backend, gone []identity.BackendID) (change Change, ended []Backend) {
 	p.updates++
 	delta := indexDelta{addresses: map[string]bool{}}
@@ -62,7 +63,7 @@
 		found := p.byID[backend.ID]
 		switch {
 		case found == nil:
-			found = p.entryOf(backend)
+			found = p.createEntry(backend)
 			change.Added = append(change.Added, backend.ID)
 			delta.add(found)
 		case backend.Draining && !found.backend.Draining:
@@ -86,28 +87,29 @@
 		ended = append(ended, found.backend)
 		delta.remove(found)
 		if found.inFlight > 0 {
-			p.departed[found] = true
+			p.departed[found] = true // unlisted, with requests of this daemon in flight
 		}
 	}
 	p.reindex(delta)
-	return change, append(ended, p.findReplaced(delta.addresses)...)
+	return change, append(ended, p.updateReplaced(delta.addresses)...)
 }
 
-// indexDelta is the effect of an update on the indexes.
+// indexDelta is the effect of an update on the indexes. Its methods only note changes; Pool.reindex applies them.
 type indexDelta struct {
-	// added entries are indexed by their current description; removed ones were indexed by a former one.
+	// added entries are to be indexed by their backend as it is when reindex is called; removed ones are still indexed
+	// by removal.was.
 	added   []*entry
 	removed []removal
 	// addresses holds the addresses of all of them, before and after the update.
 	addresses map[string]bool
 }
 
-// removal is an entry with the description by which it was indexed.
+// removal is an entry with the Backend by which it was indexed.
 type removal struct {
 	entry *entry
 	was   Backend
-	// gone is set if the back end is no longer listed.
-	gone bool
+	// unlisted is set if the back end is no longer listed, rather than moved.
+	unlisted bool
 }
 
 func (d *indexDelta) add(found *entry) {
@@ -120,19 +122,21 @@
 	d.addresses[found.backend.Address] = true
 }
 
-// move reindexes a back end whose description has changed.
+// move notes that a back end's service, zone or address changes to those of now. The entry still holds the old ones;
+// the caller replaces them before reindex.
 func (d *indexDelta) move(found *entry, now Backend) {
 	d.removed = append(d.removed, removal{found, found.backend, false})
 	d.added = append(d.added, found)
 	d.addresses[found.backend.Address], d.addresses[now.Address] = true, true
 }
 
-// entryOf creates the entry of a back end that was not listed under its ID. The caller holds the mutex.
-func (p *Pool) entryOf(backend Backend) *entry {
+// createEntry creates the entry of a back end whose ID was not listed, and takes over the notices that apply to it. The
+// same incarnation may have been listed under another ID (see inheritNotices). The caller holds the mutex.
+func (p *Pool) createEntry(backend Backend) *entry {
 	created := newEntry(backend)
 	created.notices = p.inheritNotices(created)
 	created.leaving = p.leavingOf(created)
-	created.listedAt = p.updates
+	created.listedInUpdate = p.updates
 	return created
 }
 
@@ -146,13 +150,13 @@
 			}
 			out[grp][each.entry] = true
 		}
-		p.removeKeys(each)
+		p.removeFromIndexes(each)
 	}
 	for grp, entries := range out {
 		grp.remove(entries)
 	}
 	for _, each := range delta.added {
-		p.addKeys(each)
+		p.addToIndexes(each)
 	}
 	p.group(delta.added)
 	p.dropEmptyGroups(delta.removed)
@@ -171,7 +175,8 @@
 	}
 }
 
-// groupsOf returns the groups that a back end belongs to. The caller holds the mutex.
+// groupsOf returns the groups that a back end belongs to, its service's and its service's in its region, and creates
+// those that don't exist. The caller holds the mutex.
 func (p *Pool) groupsOf(backend Backend) [2]*group {
 	key := regionKey{backend.Service, p.RegionOf(backend.Zone)}
 	if p.services[backend.Service] == nil {
@@ -183,6 +188,7 @@
 	return [2]*group{p.services[backend.Service], p.byRegion[key]}
 }
 
+// dropEmptyGroups deletes the groups of removed entries that have become empty. The caller holds the mutex.
 func (p *Pool) dropEmptyGroups(removed []removal) {
 	for _, each := range removed {
 		key := regionKey{each.was.Service, p.RegionOf(each.was.Zone)}
@@ -195,7 +201,8 @@
 	}
 }
 
-func (p *Pool) addKeys(added *entry) {
+// addToIndexes adds an entry to the indexes by ID, key, name and address. The caller holds the mutex.
+func (p *Pool) addToIndexes(added *entry) {
 	p.byID[added.backend.ID] = added
 	p.byKey[added.key] = added
 	p.byNameKey[added.nameKey] = added
@@ -203,41 +210,44 @@
 	p.byAddress[address] = append(p.byAddress[address], added)
 }
 
-func (p *Pool) removeKeys(each removal) {
-	address := each.was.Address
-	p.byAddress[address] = slices.DeleteFunc(p.byAddress[address], func(found *entry) bool { return found == each.entry })
+// removeFromIndexes removes an entry from the index by address and, if it is no longer listed, from all others and from
+// p.watched and p.peerLoaded. An entry that only moved keeps its ID and name. The caller holds the mutex.
+func (p *Pool) removeFromIndexes(removed removal) {
+	address := removed.was.Address
+	p.byAddress[address] = slices.DeleteFunc(p.byAddress[address], func(other *entry) bool { return other == removed.entry })
 	if len(p.byAddress[address]) == 0 {
 		delete(p.byAddress, address)
 	}
-	if !each.gone {
+	if !removed.unlisted {
 		return
 	}
-	delete(p.byID, each.was.ID)
-	delete(p.watched, each.entry)
-	delete(p.peerLoaded, each.entry)
-	if p.byKey[each.entry.key] == each.entry {
-		delete(p.byKey, each.entry.key)
+	delete(p.byID, removed.was.ID)
+	delete(p.watched, removed.entry)
+	delete(p.peerLoaded, removed.entry)
+	if p.byKey[removed.entry.key] == removed.entry {
+		delete(p.byKey, removed.entry.key)
 	}
-	if p.byNameKey[each.entry.nameKey] == each.entry {
-		delete(p.byNameKey, each.entry.nameKey)
+	if p.byNameKey[removed.entry.nameKey] == removed.entry {
+		delete(p.byNameKey, removed.entry.nameKey)
 	}
 }
 
-// findReplaced marks the back ends at some addresses that were listed before another one there, and returns those
-// newly marked. The caller holds the mutex.
-func (p *Pool) findReplaced(addresses map[string]bool) (gone []Backend) {
+// updateReplaced sets for each back end at the given addresses whether it is replaced, that is, whether the same
+// address has a back end whose ID was first listed in a later update. It returns those that have newly become
+// replaced. The caller holds the mutex.
+func (p *Pool) updateReplaced(addresses map[string]bool) (replaced []Backend) {
 	for address := range addresses {
 		newest := uint64(0)
 		for _, found := range p.byAddress[address] {
-			newest = max(newest, found.listedAt)
+			newest = max(newest, found.listedInUpdate)
 		}
 		for _, found := range p.byAddress[address] {
 			wasReplaced := found.replaced
-			found.replaced = newest > found.listedAt
+			found.replaced = newest > found.listedInUpdate
 			if found.replaced && !wasReplaced {
-				gone = append(gone, found.backend)
+				replaced = append(replaced, found.backend)
 			}
 		}
 	}
-	return gone
+	return replaced
 }
--- a/internal/core/backendpool/pool.go
+++ b/internal/core/backendpool/pool.go
@@ -122,7 +122,7 @@
 	onReachability func(id identity.BackendID, reached bool)
 	// onProbeRequested is called, without the mutex, when a back end is to be probed at once.
 	onProbeRequested func()
-	// onListChanged is called, without the mutex, with each change of the list.
+	// onListChanged is called, without the mutex, once a call of Update or Apply has changed the list.
 	onListChanged func(changed []Backend, gone []identity.BackendID)
 	// ended is called, without the mutex, with the address of each back end that has ended.
 	ended func(address string)
