--- a/internal/core/lease/machine.go
+++ b/internal/core/lease/machine.go
@@ -379,7 +379,7 @@
 	}
 	err := json.Unmarshal(row.Value, &record)
 	if err == nil && !record.isComplete() {
-		err = errPartialRecord
+		err = errIncompleteRecord
 	}
 	if err != nil {
 		unknown := Record{Token: identity.FencingToken(row.Version), Duration: m.settings.Duration, Acting: true}
--- a/internal/core/lease/record.go
+++ b/internal/core/lease/record.go
@@ -14,30 +14,37 @@
 	Holder identity.DaemonID `json:"holder"`
 	// Incarnation distinguishes restarts of the holder: a restarted daemon does not hold what it held
 	// before.
-	Incarnation identity.Incarnation  `json:"incarnation"`
-	Token       identity.FencingToken `json:"token"`
-	// Duration is how long others wait after they first saw this version of the row, in nanoseconds.
+	Incarnation identity.Incarnation `json:"incarnation"`
+	// Token is the fencing token of the grant; it increases with every new grant. Renewals and the
+	// release keep it.
+	Token identity.FencingToken `json:"token"`
+	// Duration is how long others wait, from when they first see this version of the row, before they
+	// may take over the lease. The JSON value is in nanoseconds.
 	Duration time.Duration `json:"duration"`
-	// Acting means that the holder may act, or that it or a predecessor may have acted so recently
-	// that the next holder must wait.
+	// Acting is set if the holder wants to act under this record (once it is no longer Waiting), or if
+	// it or a predecessor may have acted so recently that the next holder must wait for the rest of the
+	// handover delay before it acts.
 	Acting bool `json:"acting,omitempty"`
-	// Waiting means that the holder is still in the handover delay after its predecessor.
+	// Waiting is set if, at the commit, the holder could not act yet: because of the handover delay
+	// after its predecessor, or because a restore of the table may have lost the row of another holder.
 	Waiting bool `json:"waiting,omitempty"`
-	// HandoverDelayLeft is how long the next holder has to wait once the row is released.
+	// HandoverDelayLeft is set in a released row: the part of the handover delay that was left at the
+	// release. The next holder may take the lease at once but waits about that long (see handoverWait)
+	// before it acts.
 	HandoverDelayLeft time.Duration `json:"rest_left,omitempty"`
 	// Released means that nobody holds the lease, so it can be taken without waiting for its expiry.
 	Released bool `json:"released,omitempty"`
 }
 
-// errPartialRecord reports a row that lacks a mandatory field.
-var errPartialRecord = errors.New("missing holder, token or duration")
+// errIncompleteRecord reports a row that lacks a mandatory field: holder, token or duration.
+var errIncompleteRecord = errors.New("missing holder, token or duration")
 
-// isComplete reports whether a record has all mandatory fields. A record without a duration would
-// free the lease at once, although its holder may still act.
+// isComplete reports whether a record has its mandatory fields: holder, token and duration. A record
+// without a duration would free the lease at once, although its holder may still act.
 func (r Record) isComplete() bool { return r.Holder != "" && r.Token > 0 && r.Duration > 0 }
 
-// MalformedError reports that the lease's row could not be parsed. The lease then counts as held
-// by an unknown holder.
+// MalformedError reports that the lease's row could not be parsed or lacks a mandatory field. The
+// lease then counts as held by an unknown holder that has just acted, for the configured duration.
 type MalformedError struct {
 	Key   string
 	Cause error
