--- a/internal/weightupdate/announcement_test.go
+++ b/internal/weightupdate/announcement_test.go
@@ -17,18 +17,18 @@
 	"github.com/lotusward/lotusward/internal/port"
 )
 
-// TestAnnouncementsSpareTheTable heeds what a holder announces without reading the
-// plan's row, and passes over a holder before the known one.
+// TestAnnouncementsSpareTheTable checks that announcements are applied without reading the plan's row, and that
+// announcements with an older fencing token are ignored.
 func TestAnnouncementsSpareTheTable(t *testing.T) {
 	engines, table := newEngines(3), newTable()
 	table.failing = true
 	pool := engines.pool()
 	follower := &Follower{Table: table, Changes: plannedChanges{}, Pool: pool, Lease: &grantedLease{}, Log: logging.Discard()}
 	follower.Hear(Announcement{
-		Token: 5, Loading: keysOf([]identity.BackendID{"e00"}),
-		Loaded: []LoadedGroup{{Model: "m", Version: 2, Backends: keysOf([]identity.BackendID{"e01"})}},
+		Token: 5, Loading: backendKeys([]identity.BackendID{"e00"}),
+		Loaded: []LoadedGroup{{Model: "m", Version: 2, Backends: backendKeys([]identity.BackendID{"e01"})}},
 	})
-	follower.Hear(Announcement{Token: 4, Loading: keysOf([]identity.BackendID{"e01", "e02"})})
+	follower.Hear(Announcement{Token: 4, Loading: backendKeys([]identity.BackendID{"e01", "e02"})})
 	assert.Assert(t, follower.Hears())
 	for home := range uint64(10) {
 		ticket := pool.Pick(time.Now(), backendpool.Query{Service: "s", Model: "m", Home: home + 1, BeginBy: beginByVersionTwo})
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestHolderAnnouncesEachLoad lets a daemon learn from announcements alone which back
-// ends load and which have loaded, while the plan's row is written rarely.
+// TestHolderAnnouncesEachLoad checks that announcements alone report every back end that loads or has loaded, while the
+// plan's row is written rarely.
 func TestHolderAnnouncesEachLoad(t *testing.T) {
 	engines, table := newEngines(6), newTable()
 	loading, loaded := map[uint64]bool{}, map[uint64]bool{}
@@ -78,14 +78,15 @@
 	assert.Assert(t, table.version <= 4, "the row was written %d times, announced %d times", table.version, announced)
 }
 
-// TestStarterIsToldOfRecentLoads has a holder tell of each load for as long as a daemon that starts may have a list of before it,
-// in every announcement, and within what fits into a datagram where there are many.
+// TestStarterIsToldOfRecentLoads guards against a starting daemon that misses a load because its copied back-end list
+// predates it. With more loads than fit into one datagram, every load must be announced both before and after the
+// start, and none for longer than AnnounceTime.
 func TestStarterIsToldOfRecentLoads(t *testing.T) {
-	const loads = 3 * mostToldLoads
+	const loads = 3 * maxAnnouncedLoads
 	made := announcer{announce: func(Announcement) {}}
 	began := time.Now()
 	for number := range loads {
-		made.loaded(began, Loaded{Backend: identity.NewBackendID(identity.BackendName(fmt.Sprint("e", number)), 7), Model: "m", Version: 2})
+		made.recordLoad(began, Loaded{Backend: identity.NewBackendID(identity.BackendName(fmt.Sprint("e", number)), 7), Model: "m", Version: 2})
 	}
 	startedAt := began.Add(AnnounceTime / 2)
 	before, after := map[uint64]bool{}, map[uint64]bool{}
@@ -106,5 +107,5 @@
 	assert.Equal(t, len(before), 2*loads)
 	assert.Equal(t, len(after), 2*loads)
 	_, due := made.due(began.Add(AnnounceTime+announceInterval), &Plan{Token: 1}, port.Row{})
-	assert.Assert(t, !due, "loads are told for longer than they are recent")
+	assert.Assert(t, !due, "loads are announced for longer than AnnounceTime")
 }
--- a/internal/weightupdate/drain_test.go
+++ b/internal/weightupdate/drain_test.go
@@ -12,16 +12,16 @@
 	"github.com/lotusward/lotusward/internal/core/rendezvous"
 )
 
-// TestDrainAsksForOthersRequests lets another daemon's request end while a back end drains:
-// that is found out by asking, so that the wait ends before its limit. Without asking, what was
-// known of it last keeps it waiting.
+// TestDrainAsksForOthersRequests checks that draining refreshes the in-flight counts of other daemons: when another
+// daemon's request ends, the wait ends before its timeout. Without a refresh the stale count holds it until the
+// timeout.
 func TestDrainAsksForOthersRequests(t *testing.T) {
 	const id = identity.BackendID("b")
 	key := rendezvous.Key(string(id))
 	for _, example := range []struct {
 		asks              bool
 		shortest, longest time.Duration
-	}{{true, 100 * time.Millisecond, drainTime / 2}, {false, drainTime, 2 * drainTime}} {
+	}{{true, 100 * time.Millisecond, drainTimeout / 2}, {false, drainTimeout, 2 * drainTimeout}} {
 		pool := backendpool.New("a")
 		pool.Update([]backendpool.Backend{{ID: id, Service: "llm"}})
 		pool.UpdateOthersLoad([]backendpool.Load{{Key: key, InFlight: 1}})
--- a/internal/weightupdate/follower.go
+++ b/internal/weightupdate/follower.go
@@ -18,55 +18,53 @@
 
 const (
 	followInterval = 3 * time.Second
-	// pendingInterval is how often it is looked whether the plan is needed.
+	// pendingInterval is how often the follower checks whether it needs the plan's row.
 	pendingInterval = 500 * time.Millisecond
-	// Pauses after failed calls grow, so that many daemons don't keep a store busy
-	// with calls that it refuses.
-	shortestFollowPause = 100 * time.Millisecond
-	longestFollowPause  = 2 * time.Second
+	// Failed calls are retried with exponential backoff, so that many daemons don't overload a store that rejects calls.
+	minFollowBackoff = 100 * time.Millisecond
+	maxFollowBackoff = 2 * time.Second
 )
 
-// Changes tells when the plan's row may have changed.
+// Changes reports when the plan's row may have changed.
 type Changes interface {
-	// WaitPlan returns when a row of the daemons' own may have changed after a
-	// version of the store, or after a time, with the version to wait after next.
+	// WaitPlan blocks until one of the daemons' own rows may have changed since a store version, or until wait has
+	// passed. It returns the version to pass to the next call.
 	WaitPlan(ctx context.Context, after uint64, wait time.Duration) (uint64, error)
 }
 
-// Follower makes this daemon heed the plan of whichever daemon holds the lease.
+// Follower applies the plan of the current lease holder to this daemon's pool.
 type Follower struct {
 	Table   port.TableService
 	Changes Changes
 	Pool    *backendpool.Pool
 	Lease   Lease
-	// Pending tells whether there is work on weights, of which a plan tells.
+	// Pending reports whether any back end has outdated weights, so that the plan is needed.
 	Pending func() bool
 	Log     logrus.FieldLogger
 
 	mutex sync.Mutex
-	// token is the highest of a holder that this daemon has heard of.
+	// token is the highest fencing token seen.
 	token identity.FencingToken
-	// heardAt is when the last announcement came.
-	heardAt time.Time
+	// lastAnnouncementAt is when the last announcement was accepted.
+	lastAnnouncementAt time.Time
 }
 
-// Hear heeds what a holder announces. An announcement of a holder before the known
-// one is passed over.
+// Hear applies a holder's announcement. Announcements with a fencing token older than the highest seen are ignored.
 func (f *Follower) Hear(announced Announcement) {
-	if _, held := f.Lease.Held(); held || !f.admit(announced.Token) {
+	if _, held := f.Lease.Held(); held || !f.acceptToken(announced.Token) {
 		return
 	}
 	f.mutex.Lock()
-	f.heardAt = clock.Now()
+	f.lastAnnouncementAt = clock.Now()
 	f.mutex.Unlock()
-	announced.follow(f.Pool)
+	announced.apply(f.Pool)
 	if announced.LeaseVersion > 0 {
 		f.Lease.Hear(port.Row{Key: KeyLease, Version: announced.LeaseVersion, Value: announced.LeaseValue})
 	}
 }
 
-// admit tells whether a token is not of a holder before the known one.
-func (f *Follower) admit(token identity.FencingToken) bool {
+// acceptToken records a fencing token; it returns false if the token is older than the highest seen.
+func (f *Follower) acceptToken(token identity.FencingToken) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if token < f.token {
@@ -76,41 +74,41 @@
 	return true
 }
 
-// HeardAt is when a holder last announced its plan; zero is never.
+// HeardAt returns when a holder last announced its plan, or zero if none has.
 func (f *Follower) HeardAt() time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.heardAt
+	return f.lastAnnouncementAt
 }
 
-// Hears tells whether a holder announces its plan, so that its row need not be read.
+// Hears reports whether announcements arrive, so that the plan's row need not be read.
 func (f *Follower) Hears() bool {
 	return clock.Since(f.HeardAt()) < announcementTimeout
 }
 
-// Run follows the plan until the context ends. The row is read only while nobody has
-// announced a plan for a while that this daemon needs.
+// Run follows the plan until the context ends. The row is read only if the daemon has needed a plan for
+// announcementTimeout and no announcement has arrived.
 func (f *Follower) Run(ctx context.Context) error {
 	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = shortestFollowPause
-	pauses.MaxInterval = longestFollowPause
+	pauses.InitialInterval = minFollowBackoff
+	pauses.MaxInterval = maxFollowBackoff
 	var after, version uint64
-	calm := clock.Now()
+	lastNotNeeded := clock.Now()
 	for ctx.Err() == nil {
 		if !f.needsRow() {
-			calm = clock.Now()
+			lastNotNeeded = clock.Now()
 		}
-		if clock.Since(calm) < announcementTimeout {
+		if clock.Since(lastNotNeeded) < announcementTimeout {
 			pause.For(ctx, pendingInterval)
 			continue
 		}
 		version = f.follow(ctx, version)
 		next, err := f.wait(ctx, after)
-		after = next // the store's whole history after a failure
-		var lost *port.NotFoundError
+		after = next // after a failure, this reads the store's whole history
+		var notFound *port.NotFoundError
 		switch {
-		case errors.As(err, &lost):
-			pause.For(ctx, shortestFollowPause)
+		case errors.As(err, &notFound):
+			pause.For(ctx, minFollowBackoff)
 		case err != nil:
 			pause.For(ctx, pauses.NextBackOff())
 		default:
@@ -120,7 +118,7 @@
 	return nil
 }
 
-// needsRow tells whether the plan's row may tell anything that this daemon needs now.
+// needsRow reports whether this daemon needs the plan and receives no announcements.
 func (f *Follower) needsRow() bool {
 	return !f.Hears() && f.Pending()
 }
@@ -131,8 +129,8 @@
 	return f.Changes.WaitPlan(bounded, after, followInterval)
 }
 
-// follow reads the plan and heeds it. It returns the row's version. The holder
-// follows its own plan as it makes it.
+// follow reads the plan's row, applies it and returns the row's version. The holder skips this, since it applies its
+// own plan in each tick.
 func (f *Follower) follow(ctx context.Context, version uint64) uint64 {
 	if _, held := f.Lease.Held(); held {
 		return version
@@ -148,7 +146,7 @@
 		f.Log.WithError(err).Error("The plan of the weight update cannot be read.")
 		return rows[0].Version
 	}
-	if !f.admit(plan.Token) {
+	if !f.acceptToken(plan.Token) {
 		return rows[0].Version
 	}
 	plan.Follow(f.Pool)
--- a/internal/weightupdate/keeper.go
+++ b/internal/weightupdate/keeper.go
@@ -16,7 +16,7 @@
 	"github.com/lotusward/lotusward/internal/port"
 )
 
-// Options are what a Keeper works with.
+// Options configure a Keeper.
 type Options struct {
 	Holder identity.DaemonID
 	Lease  Lease
@@ -24,76 +24,74 @@
 	Pool   *backendpool.Pool
 	Named  Named
 	Orders Orders
-	// Announce tells the other daemons of the plan at once; nil when there are none.
-	// It must not block.
+	// Announce sends the plan to the other daemons; nil if there are none. It must not block.
 	Announce func(Announcement)
-	// Refresh tells the pool what other daemons have under way at a back end, where it is not
-	// told anyway; nil is where it always is.
+	// Refresh updates the pool's count of other daemons' requests in flight at a back end; nil if the pool always has
+	// current counts.
 	Refresh func(ctx context.Context, id identity.BackendID)
-	// DueBy returns until when back ends with a version of a model's weights may begin
-	// requests; zero is no bound, and nil knows none.
+	// DueBy returns the deadline after which back ends with a version of a model's weights may no longer begin requests.
+	// Zero means no deadline; a nil function means that no version has one.
 	DueBy func(model identity.ModelName, version uint64) time.Time
 	Log   logrus.FieldLogger
 }
 
-// Keeper gives the orders while it holds the lease.
+// Keeper sends load orders to back ends while this daemon holds the lease.
 type Keeper struct {
 	options Options
 
 	mutex sync.Mutex
 	plan  Plan
-	// token is of the present grant.
+	// token is the fencing token of the current grant.
 	token identity.FencingToken
-	// working are the back ends that an own goroutine is busy with: they get no new
-	// requests. Of these, loading counts those that are ordered to load now, and
-	// mostLoading is how many may be.
-	working     map[identity.BackendID]bool
-	loading     int
-	mostLoading int
-	// passedOver are back ends that get no order before a time.
-	passedOver map[identity.BackendID]time.Time
+	// working are the back ends that are being updated, each by its own goroutine; they get no new requests. loading
+	// counts those of them that occupy a load slot, and maxLoading is the number of slots.
+	working    map[identity.BackendID]bool
+	loading    int
+	maxLoading int
+	// suspendedUntil holds the time before which a back end gets no order.
+	suspendedUntil map[identity.BackendID]time.Time
 	// changed is set when the plan has to be written.
 	changed     bool
 	planVersion uint64
 	planKnown   bool
 	writtenAt   time.Time
 	announcer   announcer
-	// loadTime is the mean time that a back end takes from the plan to new weights.
+	// loadTime is the moving average of the time from the start of a back end's update to its new weights.
 	loadTime time.Duration
 }
 
-// New makes a Keeper that gives no orders until it runs.
+// New returns a Keeper that sends no orders until Run is called.
 func New(options Options) *Keeper {
 	return &Keeper{
-		options: options, working: map[identity.BackendID]bool{}, passedOver: map[identity.BackendID]time.Time{}, announcer: announcer{announce: options.Announce},
-		loadTime: expectedLoadTime,
+		options: options, working: map[identity.BackendID]bool{}, suspendedUntil: map[identity.BackendID]time.Time{}, announcer: announcer{announce: options.Announce},
+		loadTime: initialLoadTime,
 	}
 }
 
-// Run gives orders until the context ends.
+// Run updates back ends until the context ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	pause.Every(ctx, tickInterval, func(now time.Time) { k.tick(ctx, now) })
 	return nil
 }
 
-// tick starts the work on back ends that are behind, as many as may load at a time.
+// tick starts updates of outdated back ends within the concurrency limits, and publishes the plan.
 func (k *Keeper) tick(ctx context.Context, now time.Time) {
-	if !k.holds(now) {
+	if !k.checkLease(now) {
 		return
 	}
 	if _, may := k.options.Lease.MayAct(); may {
 		var next []identity.BackendID
 		for model, version := range k.options.Named.Targets() {
-			next = append(next, k.start(ctx, model, version)...)
+			next = append(next, k.startUpdates(ctx, model, version)...)
 		}
 		k.setNext(next)
 	}
-	k.followOwn()
+	k.applyOwnPlan()
 	k.announce(now)
 	k.writePlan(ctx, now)
 }
 
-// announce tells the other daemons of the plan if it is time.
+// announce sends the plan to the other daemons if an announcement is due.
 func (k *Keeper) announce(now time.Time) {
 	k.mutex.Lock()
 	announcement, due := k.announcer.due(now, &k.plan, k.options.Lease.Row())
@@ -103,9 +101,9 @@
 	}
 }
 
-// holds tells whether the lease is held, and tells the lease whether orders are to be
-// given. A holder without work announces its plan too, so that nobody reads the row.
-func (k *Keeper) holds(now time.Time) bool {
+// checkLease reports whether the lease is held, resets the plan under a new token, and sets whether the holder wants to
+// act. A holder without work announces its plan too, so that no daemon reads the row.
+func (k *Keeper) checkLease(now time.Time) bool {
 	token, held := k.options.Lease.Held()
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -123,8 +121,8 @@
 	return true
 }
 
-// Pending tells whether back ends hold weights older than the newest named ones, so that
-// somebody has to hold the lease.
+// Pending reports whether any back end has weights older than the newest named version, so that some daemon must hold
+// the lease.
 func (k *Keeper) Pending() bool { return k.pending(clock.Now()) }
 
 func (k *Keeper) pending(now time.Time) bool {
@@ -136,55 +134,54 @@
 	return false
 }
 
-// hasWork tells whether orders are to be given. The caller holds the mutex.
+// hasWork reports whether updates are in progress or pending. The caller holds the mutex.
 func (k *Keeper) hasWork(now time.Time) bool {
 	return len(k.working) > 0 || k.pending(now)
 }
 
-// followOwn makes this daemon heed its own plan.
-func (k *Keeper) followOwn() {
+// applyOwnPlan applies the holder's plan to its own pool.
+func (k *Keeper) applyOwnPlan() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.plan.Follow(k.options.Pool)
 }
 
-// start begins the work on the back ends whose turn it is. It returns those that are
-// next.
-func (k *Keeper) start(ctx context.Context, model identity.ModelName, version uint64) []identity.BackendID {
+// startUpdates starts as many updates as the limits allow, and returns the back ends that are updated next.
+func (k *Keeper) startUpdates(ctx context.Context, model identity.ModelName, version uint64) []identity.BackendID {
 	now := clock.Now()
-	sound := soundOf(k.options.Pool.Holders(now, model))
-	behind := behindOf(sound, version)
+	sound := healthyHolders(k.options.Pool.Holders(now, model))
+	behind := outdatedHolders(sound, version)
 	newer := len(sound) - len(behind)
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	pace := k.pace(now, model, sound, behind)
-	k.mostLoading = pace.loading
+	k.maxLoading = pace.loading
 	waiting := slices.DeleteFunc(behind, func(holder backendpool.Holder) bool {
-		return k.working[holder.Backend.ID] || k.isPassedOver(holder.Backend.ID)
+		return k.working[holder.Backend.ID] || k.isSuspended(holder.Backend.ID)
 	})
 	sortByTurn(waiting, k.plan.Next)
-	room := min(max(pace.out-len(k.working), 0), len(waiting))
+	room := min(max(pace.unavailable-len(k.working), 0), len(waiting))
 	for _, holder := range waiting[:room] {
-		k.begin(ctx, holder.Backend, model)
+		k.startUpdate(ctx, holder.Backend, model)
 	}
-	return idsOf(next(waiting[room:], pace.out, newer))
+	return backendIDs(selectNext(waiting[room:], pace.unavailable, newer))
 }
 
-// begin begins the work on one back end. The caller holds the mutex.
-func (k *Keeper) begin(ctx context.Context, backend backendpool.Backend, model identity.ModelName) {
+// startUpdate starts the update of one back end. The caller holds the mutex.
+func (k *Keeper) startUpdate(ctx context.Context, backend backendpool.Backend, model identity.ModelName) {
 	k.working[backend.ID] = true
 	k.plan.Loading = append(k.plan.Loading, backend.ID)
 	k.changed = true
 	k.announcer.changed = true
-	go k.bring(ctx, backend, model, k.token)
+	go k.updateBackend(ctx, backend, model, k.token)
 }
 
-// setNext says which back ends are next.
+// setNext sets the back ends that the plan lists as next.
 func (k *Keeper) setNext(next []identity.BackendID) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	slices.Sort(next)
-	next = next[:min(len(next), maximumNext)]
+	next = next[:min(len(next), maxNext)]
 	if slices.Equal(next, k.plan.Next) {
 		return
 	}
@@ -193,16 +190,16 @@
 	k.announcer.changed = true
 }
 
-// bring brings one back end to the newest version, and gives its place up when
-// that is done or takes too long.
-func (k *Keeper) bring(ctx context.Context, backend backendpool.Backend, model identity.ModelName, token identity.FencingToken) {
-	bounded, cancel := context.WithTimeout(ctx, orderTime)
+// updateBackend updates one back end to the newest version. It frees the back end's place when that is done or
+// updateTimeout has passed.
+func (k *Keeper) updateBackend(ctx context.Context, backend backendpool.Backend, model identity.ModelName, token identity.FencingToken) {
+	bounded, cancel := context.WithTimeout(ctx, updateTimeout)
 	defer cancel()
 	began := clock.Now()
 	version := uint64(0)
-	if k.answers(bounded, backend) {
+	if k.isResponsive(bounded, backend) {
 		k.awaitDrained(bounded, backend.ID)
-		version = k.loadInTurn(bounded, backend, model, token)
+		version = k.loadWhenSlotFree(bounded, backend, model, token)
 	}
 	took := clock.Since(began)
 	if version > 0 {
@@ -214,34 +211,34 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if version > 0 {
-		k.loadTime += time.Duration(loadTimeWeight * float64(took-k.loadTime))
+		k.loadTime += time.Duration(loadTimeSmoothing * float64(took-k.loadTime))
 	}
 	delete(k.working, backend.ID)
 	k.plan.Loading = slices.DeleteFunc(k.plan.Loading, func(id identity.BackendID) bool { return id == backend.ID })
 	if version > 0 {
 		loaded := Loaded{Backend: backend.ID, Model: model, Version: version}
-		k.plan.note(loaded)
-		k.announcer.loaded(clock.Now(), loaded)
+		k.plan.recordLoaded(loaded)
+		k.announcer.recordLoad(clock.Now(), loaded)
 	}
 	k.changed = true
 	k.announcer.changed = true
 }
 
-// answers tells whether a back end answers at all, once the other daemons may have
-// heard of the plan. One that doesn't is passed over for a while.
-func (k *Keeper) answers(ctx context.Context, backend backendpool.Backend) bool {
-	pause.For(ctx, spreadTime)
+// isResponsive waits until the plan has reached the other daemons, and reports whether the back end then answers. One
+// that doesn't is suspended.
+func (k *Keeper) isResponsive(ctx context.Context, backend backendpool.Backend) bool {
+	pause.For(ctx, planPropagationDelay)
 	_, err := k.report(ctx, backend)
 	if err != nil {
-		k.passOver(backend.ID)
+		k.suspend(backend.ID)
 	}
 	return err == nil
 }
 
-// awaitDrained waits until no request is under way at a back end, but not for long:
-// the back end itself ends what is under way before it loads.
+// awaitDrained waits until no request is in flight at a back end, for at most drainTimeout: the back end itself
+// finishes its requests before it loads.
 func (k *Keeper) awaitDrained(ctx context.Context, id identity.BackendID) {
-	bounded, cancel := context.WithTimeout(ctx, drainTime)
+	bounded, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
 	for bounded.Err() == nil {
 		if k.options.Refresh != nil {
@@ -254,45 +251,46 @@
 	}
 }
 
-// loadInTurn loads as soon as one more back end may load. It returns as load does.
-func (k *Keeper) loadInTurn(ctx context.Context, backend backendpool.Backend, model identity.ModelName, token identity.FencingToken) uint64 {
-	for !k.mayLoad() {
+// loadWhenSlotFree waits for a load slot and then calls load. It returns what load returns, or zero if the context ends
+// first.
+func (k *Keeper) loadWhenSlotFree(ctx context.Context, backend backendpool.Backend, model identity.ModelName, token identity.FencingToken) uint64 {
+	for !k.acquireLoadSlot() {
 		pause.For(ctx, drainCheckInterval)
 		if ctx.Err() != nil {
 			return 0
 		}
 	}
-	defer k.endLoad()
+	defer k.releaseLoadSlot()
 	return k.load(ctx, backend, model, token)
 }
 
-func (k *Keeper) endLoad() {
+func (k *Keeper) releaseLoadSlot() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.loading--
 }
 
-// mayLoad counts one more back end as loading, if there may be one.
-func (k *Keeper) mayLoad() bool {
+// acquireLoadSlot occupies a load slot; it returns false if none is free.
+func (k *Keeper) acquireLoadSlot() bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if k.loading >= k.mostLoading {
+	if k.loading >= k.maxLoading {
 		return false
 	}
 	k.loading++
 	return true
 }
 
-// note remembers what a back end holds, in place of what it held.
-func (p *Plan) note(loaded Loaded) {
+// recordLoaded records the version that a back end holds, in place of an earlier one.
+func (p *Plan) recordLoaded(loaded Loaded) {
 	p.Loaded = slices.DeleteFunc(p.Loaded, func(older Loaded) bool {
 		return older.Backend == loaded.Backend && older.Model == loaded.Model
 	})
 	p.Loaded = append(p.Loaded, loaded)
 }
 
-// load orders until the back end holds the newest version. It returns the
-// version that it holds, or zero when that is not known.
+// load sends orders until the back end holds the newest version. It returns the version that the back end holds, or
+// zero if that is unknown.
 func (k *Keeper) load(ctx context.Context, backend backendpool.Backend, model identity.ModelName, token identity.FencingToken) uint64 {
 	unanswered := 0
 	for ctx.Err() == nil {
@@ -303,8 +301,8 @@
 		case errors.As(err, &ended):
 			k.options.Log.WithError(err).Info("A back end has started again: its new life gets its own order.")
 			return 0
-		case err != nil && unanswered >= toleratedSilence:
-			k.passOver(backend.ID)
+		case err != nil && unanswered >= maxUnansweredReports:
+			k.suspend(backend.ID)
 			return 0
 		case err != nil:
 			unanswered++
@@ -316,25 +314,25 @@
 			pause.For(ctx, reportInterval)
 			continue
 		}
-		reply, err := k.order(ctx, Order{
+		reply, err := k.sendOrder(ctx, Order{
 			Backend: backend, Model: model, Version: version,
 			Holder: k.options.Holder, Token: token, Expected: report.Sequence,
 		})
 		if err != nil {
-			pause.For(ctx, settleTime)
+			pause.For(ctx, reportSettleDelay)
 			continue
 		}
 		switch reply {
 		case ReplyHolds:
 			return version
 		case ReplyTaken:
-			if held := k.await(ctx, backend, model, version, report.Sequence); held >= version {
+			if held := k.awaitLoaded(ctx, backend, model, version, report.Sequence); held >= version {
 				return held
 			}
 		case ReplyConflict:
 			pause.For(ctx, reportInterval)
 		case ReplyReplaced:
-			k.passOver(backend.ID)
+			k.suspend(backend.ID)
 			return 0
 		default:
 			return 0
@@ -343,9 +341,9 @@
 	return 0
 }
 
-// await waits until a taken order is done. It returns the version held. A report
-// with the count of orders from before the order is of an earlier moment.
-func (k *Keeper) await(ctx context.Context, backend backendpool.Backend, model identity.ModelName, version, before uint64) uint64 {
+// awaitLoaded waits until an accepted order has been carried out, and returns the version that the back end holds. A
+// report whose order count has not grown since before the order is stale.
+func (k *Keeper) awaitLoaded(ctx context.Context, backend backendpool.Backend, model identity.ModelName, version, before uint64) uint64 {
 	for ctx.Err() == nil {
 		pause.For(ctx, reportInterval)
 		report, err := k.report(ctx, backend)
@@ -364,8 +362,8 @@
 	return 0
 }
 
-// report asks a back end for its report. The error is an EndedError where a later life of it answers,
-// whose count of orders began anew.
+// report requests a back end's report. It returns an EndedError if another incarnation answers, since its order count
+// started again.
 func (k *Keeper) report(ctx context.Context, backend backendpool.Backend) (Report, error) {
 	bounded, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -377,10 +375,10 @@
 	return report, err
 }
 
-// mayGive waits for a moment until an order under a token may be given. It returns
-// false if it may not.
-func (k *Keeper) mayGive(token identity.FencingToken) bool {
-	until := clock.Now().Add(actWait)
+// awaitPermission waits up to permissionTimeout until the lease permits orders under a token. It returns false if the
+// token is superseded or the time runs out.
+func (k *Keeper) awaitPermission(token identity.FencingToken) bool {
+	until := clock.Now().Add(permissionTimeout)
 	for {
 		held, may := k.options.Lease.TryAct()
 		if held != token || (!may && clock.Now().After(until)) {
@@ -393,9 +391,9 @@
 	}
 }
 
-// order gives one order if the lease is still held under the same token.
-func (k *Keeper) order(ctx context.Context, order Order) (Reply, error) {
-	if !k.mayGive(order.Token) {
+// sendOrder sends one order if the lease is still held under the same token.
+func (k *Keeper) sendOrder(ctx context.Context, order Order) (Reply, error) {
+	if !k.awaitPermission(order.Token) {
 		return ReplyFenced, nil
 	}
 	bounded, cancel := context.WithTimeout(ctx, orderTimeout)
--- a/internal/weightupdate/pace.go
+++ b/internal/weightupdate/pace.go
@@ -9,47 +9,47 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// isPassedOver tells whether a back end gets no order now. The caller holds the mutex.
-func (k *Keeper) isPassedOver(id identity.BackendID) bool {
-	until, found := k.passedOver[id]
+// isSuspended reports whether a back end gets no orders at present. The caller holds the mutex.
+func (k *Keeper) isSuspended(id identity.BackendID) bool {
+	until, found := k.suspendedUntil[id]
 	if found && clock.Now().After(until) {
-		delete(k.passedOver, id)
+		delete(k.suspendedUntil, id)
 		return false
 	}
 	return found
 }
 
-func (k *Keeper) passOver(id identity.BackendID) {
+func (k *Keeper) suspend(id identity.BackendID) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.passedOver[id] = clock.Now().Add(passOverTime)
+	k.suspendedUntil[id] = clock.Now().Add(suspendDuration)
 }
 
-// pace is how many back ends are brought to new weights at a time.
+// pace limits how many back ends are updated concurrently.
 type pace struct {
-	// loading is how many load, and out how many get no new requests since they load or
-	// are about to: what is under way at those ends while the others load.
-	loading, out int
+	// loading is the number of back ends that may load at a time. unavailable is the number that may get no new requests
+	// because they load or are about to; the latter finish their requests in flight while the others load.
+	loading, unavailable int
 }
 
-// pace is slow, so that the others hold up, but fast enough to be done before those
-// with the oldest weights may no longer begin requests. Back ends that may not any more
-// are no loss. Sound are all back ends of the model that are neither doubted nor leaving,
-// and behind those of them with older weights. The caller holds the mutex.
+// pace computes the limits for a model. They are low, so that the remaining back ends can carry the load, but high
+// enough to finish before the oldest weights reach their deadline. Back ends past their deadline can't begin requests,
+// so all of them may be unavailable. sound holds all back ends of the model that are neither ejected nor draining, and
+// behind those of them with older weights. The caller holds the mutex.
 func (k *Keeper) pace(now time.Time, model identity.ModelName, sound, behind []backendpool.Holder) pace {
 	reading := 0.0
 	for _, holder := range sound {
 		reading += holder.Reading
 	}
 	share := func(divisor int) int { return max((len(sound)+divisor/2)/divisor, 1) }
-	usual := pace{loading: share(loadShare), out: share(loadShare)}
-	if reading < calmReading*float64(len(sound)) {
-		usual.out = share(outShare)
+	usual := pace{loading: share(normalLoadDivisor), unavailable: share(normalLoadDivisor)}
+	if reading < lowReadingTokens*float64(len(sound)) {
+		usual.unavailable = share(unavailableDivisor)
 	}
 	if k.options.DueBy == nil {
 		return usual
 	}
-	useless := 0
+	expired := 0
 	least := time.Duration(math.MaxInt64)
 	for _, holder := range behind {
 		due := k.options.DueBy(model, holder.Version)
@@ -58,11 +58,11 @@
 		}
 		least = min(least, due.Sub(now))
 		if due.Sub(now) < k.loadTime/2 {
-			useless++
+			expired++
 		}
 	}
-	left := max(time.Duration(usedShare*float64(least)), k.loadTime/2)
+	left := max(time.Duration(usableTimeShare*float64(least)), k.loadTime/2)
 	needed := int(math.Ceil(float64(len(behind)) * float64(k.loadTime) / float64(left)))
-	loading := min(max(needed, usual.loading), share(hastyShare))
-	return pace{loading: loading, out: max(usual.out, loading, useless)}
+	loading := min(max(needed, usual.loading), share(urgentLoadDivisor))
+	return pace{loading: loading, unavailable: max(usual.unavailable, loading, expired)}
 }
--- a/internal/weightupdate/pace_test.go
+++ b/internal/weightupdate/pace_test.go
@@ -15,15 +15,14 @@
 	"github.com/lotusward/lotusward/internal/logging"
 )
 
-// measuredPace is the pace of an update to version 2 over back ends.
+// measuredPace returns the pace of an update of back ends to version 2.
 func measuredPace(keeper *Keeper, now time.Time, holders []backendpool.Holder) pace {
-	sound := soundOf(slices.Clone(holders))
-	return keeper.pace(now, "m", sound, behindOf(sound, 2))
+	sound := healthyHolders(slices.Clone(holders))
+	return keeper.pace(now, "m", sound, outdatedHolders(sound, 2))
 }
 
-// TestHasteGrowsAsTimeRunsOut loads few back ends at a time while there is time, as
-// many as are needed to be done in time otherwise, and never more than a quarter. Back
-// ends on which requests may begin no more are no loss and all get none.
+// TestHasteGrowsAsTimeRunsOut checks that few back ends load at a time while the deadline is far, as many as the
+// deadline requires when it is near, and never more than a quarter. Back ends past the deadline are all unavailable.
 func TestHasteGrowsAsTimeRunsOut(t *testing.T) {
 	now := time.Now()
 	var holders []backendpool.Holder
@@ -35,21 +34,21 @@
 	measured := func() pace { return measuredPace(keeper, now, holders) }
 	keeper.loadTime = time.Second
 	left = time.Minute
-	assert.Equal(t, measured(), pace{loading: 3, out: 7})
+	assert.Equal(t, measured(), pace{loading: 3, unavailable: 7})
 	left = 4 * time.Second
-	assert.Equal(t, measured(), pace{loading: 5, out: 7}) // 20 loads in 3.6 s take six
+	assert.Equal(t, measured(), pace{loading: 5, unavailable: 7}) // 20 loads in 3.6 s take six
 	left = time.Second
-	assert.Equal(t, measured(), pace{loading: 5, out: 7})
+	assert.Equal(t, measured(), pace{loading: 5, unavailable: 7})
 	left = -time.Second
-	assert.Equal(t, measured(), pace{loading: 5, out: 20})
+	assert.Equal(t, measured(), pace{loading: 5, unavailable: 20})
 	for index := range holders {
 		holders[index].Version = 2
 	}
-	assert.Equal(t, measured(), pace{loading: 3, out: 7})
+	assert.Equal(t, measured(), pace{loading: 3, unavailable: 7})
 }
 
-// TestPaceIsOfSoundBackEnds takes fewer back ends out where others can't be reached, and
-// where much waits to be read.
+// TestPaceIsOfSoundBackEnds checks that fewer back ends are unavailable at a time if others are ejected, or if many
+// prompt tokens wait to be processed.
 func TestPaceIsOfSoundBackEnds(t *testing.T) {
 	now := time.Now()
 	var holders []backendpool.Holder
@@ -58,18 +57,18 @@
 	}
 	keeper := New(Options{})
 	measured := func() pace { return measuredPace(keeper, now, holders) }
-	assert.Equal(t, measured(), pace{loading: 2, out: 4})
+	assert.Equal(t, measured(), pace{loading: 2, unavailable: 4})
 	for index := range 6 {
 		holders[index].Ejected = true
 	}
-	assert.Equal(t, measured(), pace{loading: 1, out: 2})
+	assert.Equal(t, measured(), pace{loading: 1, unavailable: 2})
 	for index := range holders {
-		holders[index].Reading = 2 * calmReading
+		holders[index].Reading = 2 * lowReadingTokens
 	}
-	assert.Equal(t, measured(), pace{loading: 1, out: 1})
+	assert.Equal(t, measured(), pace{loading: 1, unavailable: 1})
 }
 
-// silent leaves calls to some back ends without an answer.
+// silent lets report calls to some back ends time out.
 type silent struct {
 	*fakeEngines
 	dark map[identity.BackendID]bool
@@ -84,8 +83,8 @@
 	return s.fakeEngines.Report(ctx, backend)
 }
 
-// TestSilentBackEndsKeepNobodyWaiting brings the others to the newest version in time
-// though back ends that don't answer come first: with nothing under way they look idle.
+// TestSilentBackEndsKeepNobodyWaiting guards against unresponsive back ends that block the update of the others. They
+// have no requests in flight, look idle and therefore come first.
 func TestSilentBackEndsKeepNobodyWaiting(t *testing.T) {
 	engines, table := newEngines(8), newTable()
 	dark := map[identity.BackendID]bool{"e00": true, "e01": true}
@@ -110,12 +109,12 @@
 		if loaded == len(engines.engines)-len(dark) {
 			return poll.Success()
 		}
-		return poll.Continue("%d back ends were brought to version 2", loaded)
-	}, poll.WithTimeout(orderTime/2))
+		return poll.Continue("%d back ends were updated to version 2", loaded)
+	}, poll.WithTimeout(updateTimeout/2))
 }
 
-// TestReplacedBackEndsKeepNobodyWaiting brings back ends to the newest version though
-// more rows than may load at a time are of back ends whose address another one has.
+// TestReplacedBackEndsKeepNobodyWaiting guards against stale rows that block the update: more rows than may load at a
+// time belong to back ends whose address another one has taken over.
 func TestReplacedBackEndsKeepNobodyWaiting(t *testing.T) {
 	engines, table := newEngines(6), newTable()
 	named := &namedVersion{}
@@ -147,11 +146,11 @@
 		if loaded == 6 {
 			return poll.Success()
 		}
-		return poll.Continue("%d back ends were brought to version 2", loaded)
-	}, poll.WithTimeout(passOverTime))
+		return poll.Continue("%d back ends were updated to version 2", loaded)
+	}, poll.WithTimeout(suspendDuration))
 }
 
-// replacing answers for back ends that do not exist as whoever has their address.
+// replacing answers calls to back ends that no longer exist as the back end that took over their address.
 type replacing struct{ *fakeEngines }
 
 func (r replacing) exists(backend backendpool.Backend) bool {
--- a/internal/weightupdate/plan.go
+++ b/internal/weightupdate/plan.go
@@ -1,8 +1,7 @@
-// Package weightupdate brings the back ends of a model to its newest named version of
-// weights, a few at a time. One daemon at a time gives the orders: the holder of
-// a lease. Each order carries the lease's fencing token and the back end's count
-// of orders, so that one that is carried out late changes nothing. All daemons
-// follow the holder's plan, a row of the platform's table.
+// Package weightupdate updates the back ends of a model to the newest named version of its weights, a few at a time.
+// Only the holder of a lease sends load orders. Each order carries the lease's fencing token and the back end's order
+// count, so that a delayed order has no effect. All daemons follow the holder's plan, which is announced and stored as
+// a row of the platform's table.
 package weightupdate
 
 import (
@@ -18,21 +17,21 @@
 	"github.com/lotusward/lotusward/internal/port"
 )
 
-// Keys of the rows in the platform's table. They are part of what daemons of different
-// releases share while one replaces the other: with two names there would be two holders.
+// Keys of the rows in the platform's table. Daemons of different releases share them during a rolling upgrade: with
+// different names there would be two holders.
 const (
 	KeyLease = "lease/rollout"
 	KeyPlan  = "plan/rollout"
 )
 
-// Plan is what the holder tells the other daemons.
+// Plan is the state of the update that the holder publishes to the other daemons.
 type Plan struct {
 	Token identity.FencingToken
-	// Loading back ends take new weights now or very soon; they get no requests.
+	// Loading are the back ends that load new weights now or are about to; they get no new requests.
 	Loading []identity.BackendID
-	// Next are those whose turn is next; they get short requests only.
+	// Next are the back ends that are updated next; they get short requests only.
 	Next []identity.BackendID
-	// Loaded are the versions that back ends hold, where the list may not yet say so.
+	// Loaded are the versions that back ends have loaded, which the back-end list may not show yet.
 	Loaded []Loaded
 }
 
@@ -55,29 +54,29 @@
 	return &plan, nil
 }
 
-// Follow makes the pool heed a plan.
+// Follow updates the pool's routing state from a plan.
 func (p *Plan) Follow(pool *backendpool.Pool) {
-	pool.SetLeaving(backendpool.Leaving{Now: keysOf(p.Loading), Soon: keysOf(p.Next)})
+	pool.SetLeaving(backendpool.Leaving{Now: backendKeys(p.Loading), Soon: backendKeys(p.Next)})
 	for _, loaded := range p.Loaded {
 		pool.LearnVersion(loaded.Backend, loaded.Model, loaded.Version)
 	}
 }
 
-// Report is what a back end says of itself; it may be some hundred milliseconds old.
+// Report is a back end's own status; it may be some hundred milliseconds old.
 type Report struct {
-	// Incarnation is of the life that reports; zero where it doesn't tell.
+	// Incarnation identifies the run of the back end that reports; zero if it doesn't say.
 	Incarnation identity.Incarnation
-	// Busy is set while an order is under way.
+	// Busy is set while an order is carried out.
 	Busy bool
-	// Sequence counts the orders that the back end took since its start.
+	// Sequence counts the orders that the back end has accepted since its start.
 	Sequence uint64
 	Versions map[identity.ModelName]uint64
 }
 
-// EndedError says that a back end has started again since it was listed.
+// EndedError reports that a back end has restarted since it was listed.
 type EndedError struct {
 	Backend identity.BackendID
-	// Later is of the life that answered.
+	// Later is the incarnation that answered.
 	Later identity.Incarnation
 }
 
@@ -93,30 +92,30 @@
 	Version uint64
 	Holder  identity.DaemonID
 	Token   identity.FencingToken
-	// Expected is the count of orders at which the order may be carried out.
+	// Expected is the order count that the back end must have to accept the order.
 	Expected uint64
 }
 
 // Reply is a back end's answer to an order.
 type Reply int
 
-// The replies.
+// Replies to an order.
 const (
-	// ReplyTaken: the order is under way.
+	// ReplyTaken: the order was accepted and is being carried out.
 	ReplyTaken Reply = iota
-	// ReplyHolds: the back end holds the version already.
+	// ReplyHolds: the back end already holds the version.
 	ReplyHolds
-	// ReplyConflict: another order is or was under way.
+	// ReplyConflict: another order is being carried out, or the order count differs.
 	ReplyConflict
-	// ReplyFenced: a newer holder has given orders.
+	// ReplyFenced: the back end has accepted an order with a newer fencing token.
 	ReplyFenced
-	// ReplyReplaced: another back end has the address.
+	// ReplyReplaced: another back end has taken over the address.
 	ReplyReplaced
-	// ReplyRefused: the order is malformed or unknown there.
+	// ReplyRefused: the back end rejects the order as malformed or unknown.
 	ReplyRefused
 )
 
-// String names the reply for logs.
+// String returns the reply's name for logs.
 func (r Reply) String() string {
 	switch r {
 	case ReplyTaken:
@@ -134,83 +133,79 @@
 	}
 }
 
-// Orders calls back ends.
+// Orders requests reports from back ends and sends them orders.
 type Orders interface {
 	Report(ctx context.Context, backend backendpool.Backend) (Report, error)
-	// Give sends an order. After an error the order may have been taken, or may be
-	// carried out later.
+	// Give sends an order. After an error the order may have been accepted, or may still be carried out later.
 	Give(ctx context.Context, order Order) (Reply, error)
 }
 
-// Named tells which versions are to be loaded.
+// Named provides the versions to load.
 type Named interface {
 	// Targets returns the newest named version of each model.
 	Targets() map[identity.ModelName]uint64
 }
 
-// Lease tells whether this daemon may give orders.
+// Lease decides whether this daemon may send orders.
 type Lease interface {
 	// Held returns the fencing token and true while the lease is held.
 	Held() (identity.FencingToken, bool)
-	// SetActing says whether orders are to be given, and MayAct returns the fencing token
-	// and true while they may be. TryAct is as MayAct, just before an order is given.
+	// SetActing sets whether the holder wants to send orders. MayAct returns the fencing token and true while it may.
+	// TryAct is like MayAct, for a caller that sends an order immediately afterwards.
 	SetActing(acting bool)
 	MayAct() (identity.FencingToken, bool)
 	TryAct() (identity.FencingToken, bool)
-	// Row returns the lease's row, and Hear takes it in as its holder has told it.
+	// Row returns the lease's row, and Hear accepts the row that the holder has announced.
 	Row() port.Row
 	Hear(row port.Row)
 }
 
-// Times of an update.
+// Timing and concurrency limits of an update.
 const (
 	tickInterval   = 60 * time.Millisecond
 	reportInterval = 150 * time.Millisecond
 	callTimeout    = 700 * time.Millisecond
-	// reportTimeout bounds a call for a report, which takes no place at the back end.
+	// reportTimeout limits a report call, which occupies no slot at the back end.
 	reportTimeout = 400 * time.Millisecond
 	planTimeout   = 400 * time.Millisecond
-	// writeInterval is how often the plan's row is written where it is announced too.
+	// writeInterval is the minimum time between writes of the plan's row if the plan is also announced.
 	writeInterval = time.Second
-	// spreadTime is how long the other daemons may take to follow a plan.
-	spreadTime = 40 * time.Millisecond
-	// orderTime bounds the work on one back end before it is looked at anew.
-	orderTime = 6 * time.Second
-	// orderTimeout bounds the wait for the answer to an order. An order that got none
-	// is given again with the same expected count, so that waiting longer gains nothing.
+	// planPropagationDelay is how long the other daemons may take to apply a plan.
+	planPropagationDelay = 40 * time.Millisecond
+	// updateTimeout limits one attempt to update a back end, after which it is scheduled again.
+	updateTimeout = 6 * time.Second
+	// orderTimeout limits the wait for the reply to an order. An order without a reply is sent again with the same
+	// expected count, so that waiting longer gains nothing.
 	orderTimeout = 300 * time.Millisecond
-	// actWait is how long an order waits for the lease's row to say that orders are given.
-	actWait = time.Second
-	// settleTime is about how old a report may be.
-	settleTime = 250 * time.Millisecond
-	// toleratedSilence is how many calls in a row a back end may leave unanswered before
-	// its order.
-	toleratedSilence = 1
-	// passOverTime is how long a back end gets no order after it did not answer, or
-	// another one did at its address: its row may still be listed, and must not keep the
-	// others waiting.
-	passOverTime = 2 * time.Second
-	// loadShare is one over the share of a model's back ends that load at a time
-	// without haste, and hastyShare over the largest.
-	loadShare  = 6
-	hastyShare = 4
-	// outShare is one over the share of a model's back ends that get no new requests
-	// since they load or are about to.
-	outShare = 3
-	// maximumNext bounds the back ends that are told to be next: the plan has to fit into a
-	// datagram.
-	maximumNext = 256
-	// calmReading is up to how much waits to be read at a back end in the mean, in
-	// tokens, while the others can do without those that are about to load.
-	calmReading = 2000
-	// drainTime is how long it is waited for the requests under way at a back end, and
-	// drainCheckInterval how often it is looked.
-	drainTime          = time.Second
+	// permissionTimeout is how long an order waits until the lease's row records that the holder acts.
+	permissionTimeout = time.Second
+	// reportSettleDelay is the wait after a failed order until reports reflect it: about the age that a report may have.
+	reportSettleDelay = 250 * time.Millisecond
+	// maxUnansweredReports is how many report calls a back end may leave unanswered before its order.
+	maxUnansweredReports = 1
+	// suspendDuration is how long a back end gets no order after it did not answer, or after another one answered at its
+	// address. Its row may still be listed and must not delay the others.
+	suspendDuration = 2 * time.Second
+	// A model's back ends are divided by normalLoadDivisor for the number that load at a time while the deadline is far,
+	// and by urgentLoadDivisor for the maximum when it is near.
+	normalLoadDivisor = 6
+	urgentLoadDivisor = 4
+	// unavailableDivisor divides a model's back ends for the number that get no new requests because they load or are
+	// about to.
+	unavailableDivisor = 3
+	// maxNext limits the back ends that the plan lists as next: the plan must fit into a datagram.
+	maxNext = 256
+	// lowReadingTokens is the mean number of prompt tokens waiting at a back end below which the others can also do
+	// without those that are about to load.
+	lowReadingTokens = 2000
+	// drainTimeout limits the wait for the requests in flight at a back end, and drainCheckInterval is the period of the
+	// checks.
+	drainTimeout       = time.Second
 	drainCheckInterval = 20 * time.Millisecond
-	// expectedLoadTime is how long a back end takes before any has been seen to.
-	expectedLoadTime = 1500 * time.Millisecond
-	// loadTimeWeight is the weight of the newest in the mean time that a load takes.
-	loadTimeWeight = 0.3
-	// usedShare of the time that is left is planned with; the rest is for what goes wrong.
-	usedShare = 0.9
+	// initialLoadTime is the estimate of a load's duration before any has been measured.
+	initialLoadTime = 1500 * time.Millisecond
+	// loadTimeSmoothing is the weight of the newest load in the moving average of load times.
+	loadTimeSmoothing = 0.3
+	// usableTimeShare is the share of the time to the deadline that is planned for; the rest is reserved for failures.
+	usableTimeShare = 0.9
 )
--- a/internal/weightupdate/planrow.go
+++ b/internal/weightupdate/planrow.go
@@ -7,8 +7,8 @@
 	"github.com/lotusward/lotusward/internal/port"
 )
 
-// writePlan writes the plan if it changed. When that fails it is tried again at
-// the next tick; the plan only spares requests a rejection.
+// writePlan writes the plan's row if the plan has changed. A failed write is retried at the next tick; until it
+// succeeds, requests may at worst be rejected by a back end that loads.
 func (k *Keeper) writePlan(ctx context.Context, now time.Time) {
 	value, condition, due := k.nextPlan(now)
 	if !due {
@@ -41,7 +41,7 @@
 	known   bool
 }
 
-// nextPlan returns the plan to write, if one is due.
+// nextPlan returns the encoded plan and the condition to write it under, or false if no write is due.
 func (k *Keeper) nextPlan(now time.Time) ([]byte, planCondition, bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -51,7 +51,7 @@
 	}
 	value, err := k.plan.Encode()
 	if err != nil {
-		k.options.Log.WithError(err).Error("The plan cannot be encoded.")
+		k.options.Log.WithError(err).Error("The weight update plan cannot be encoded.")
 		return nil, planCondition{}, false
 	}
 	if k.planKnown {
@@ -60,11 +60,11 @@
 	return value, planCondition{version: k.planVersion, known: k.planKnown}, true
 }
 
-// learnPlanVersion reads which version the plan's row has.
+// learnPlanVersion reads the version of the plan's row.
 func (k *Keeper) learnPlanVersion(ctx context.Context) {
 	rows, err := k.options.Table.Read(ctx, KeyPlan)
 	if err != nil {
-		k.options.Log.WithError(err).Warn("The version of the plan's row cannot be read; it is tried again.")
+		k.options.Log.WithError(err).Warn("The version of the weight update plan's row cannot be read; retrying.")
 		return
 	}
 	k.mutex.Lock()
--- a/internal/weightupdate/turns.go
+++ b/internal/weightupdate/turns.go
@@ -8,28 +8,28 @@
 	"github.com/lotusward/lotusward/internal/core/identity"
 )
 
-// soundOf returns the back ends that are neither doubted nor leaving for good.
-func soundOf(holders []backendpool.Holder) []backendpool.Holder {
+// healthyHolders returns the back ends that are neither ejected nor draining. It modifies its argument.
+func healthyHolders(holders []backendpool.Holder) []backendpool.Holder {
 	return slices.DeleteFunc(holders, func(holder backendpool.Holder) bool {
 		return holder.Ejected || holder.Backend.Draining
 	})
 }
 
-// behindOf returns a copy of the back ends that hold an older version.
-func behindOf(holders []backendpool.Holder, version uint64) []backendpool.Holder {
+// outdatedHolders returns a copy of the back ends that hold an older version.
+func outdatedHolders(holders []backendpool.Holder, version uint64) []backendpool.Holder {
 	return slices.DeleteFunc(slices.Clone(holders), func(holder backendpool.Holder) bool { return holder.Version >= version })
 }
 
-// next are those of the waiting back ends that are to get short answers only: as many
-// as leave at a time, or all once as many have new weights and take the long ones.
-func next(waiting []backendpool.Holder, leaving, newer int) []backendpool.Holder {
+// selectNext returns the waiting back ends that get short requests only: as many as become unavailable at a time, or
+// all of them once as many back ends have new weights and can take the long requests.
+func selectNext(waiting []backendpool.Holder, leaving, newer int) []backendpool.Holder {
 	if newer >= leaving {
 		return waiting
 	}
 	return waiting[:min(leaving, len(waiting))]
 }
 
-func idsOf(holders []backendpool.Holder) []identity.BackendID {
+func backendIDs(holders []backendpool.Holder) []identity.BackendID {
 	ids := make([]identity.BackendID, len(holders))
 	for index, holder := range holders {
 		ids[index] = holder.Backend.ID
@@ -37,8 +37,7 @@
 	return ids
 }
 
-// sortByTurn puts those first that were told to be next, and of equals those with the
-// least under way.
+// sortByTurn sorts back ends that were announced as next first, and by requests in flight within both groups.
 func sortByTurn(holders []backendpool.Holder, told []identity.BackendID) {
 	turns := make(map[identity.BackendID]int, len(told))
 	for _, id := range told {
--- a/internal/weightupdate/turns_test.go
+++ b/internal/weightupdate/turns_test.go
@@ -18,20 +18,20 @@
 	return holders
 }
 
-// TestAnnouncedTurnsAreKept lets those load first that were told to be next, though
-// others have less under way meanwhile: nothing long was placed there for their sake.
+// TestAnnouncedTurnsAreKept checks that back ends announced as next load first even if others have fewer requests in
+// flight by then: no long requests were sent to the announced ones.
 func TestAnnouncedTurnsAreKept(t *testing.T) {
 	holders := holdersOf(0, 9, 1, 5, 2)
 	sortByTurn(holders, []identity.BackendID{"b", "d"})
-	assert.DeepEqual(t, idsOf(holders), []identity.BackendID{"d", "b", "a", "c", "e"})
+	assert.DeepEqual(t, backendIDs(holders), []identity.BackendID{"d", "b", "a", "c", "e"})
 }
 
-// TestAllAreNextOnceOthersHaveNewWeights leaves long answers to back ends that are not
-// next: to some of those with old weights at first, then to those with new ones alone.
+// TestAllAreNextOnceOthersHaveNewWeights checks which back ends remain for long requests: at first some of those with
+// old weights, and later only those with new weights.
 func TestAllAreNextOnceOthersHaveNewWeights(t *testing.T) {
 	waiting := holdersOf(0, 0, 0, 0)
-	assert.Equal(t, len(next(waiting, 2, 0)), 2)
-	assert.Equal(t, len(next(waiting, 2, 1)), 2)
-	assert.Equal(t, len(next(waiting, 2, 2)), 4)
-	assert.Equal(t, len(next(waiting[:1], 2, 0)), 1)
+	assert.Equal(t, len(selectNext(waiting, 2, 0)), 2)
+	assert.Equal(t, len(selectNext(waiting, 2, 1)), 2)
+	assert.Equal(t, len(selectNext(waiting, 2, 2)), 4)
+	assert.Equal(t, len(selectNext(waiting[:1], 2, 0)), 1)
 }
--- a/internal/weightupdate/update_test.go
+++ b/internal/weightupdate/update_test.go
@@ -83,7 +83,7 @@
 	history   []uint64
 }
 
-// fakeEngines carry out orders; some answers are lost, and some orders come late.
+// fakeEngines carries out orders. With probability trouble a reply is lost, and half of these orders are also delayed.
 type fakeEngines struct {
 	mutex    sync.Mutex
 	engines  map[identity.BackendID]*fakeEngine
@@ -101,7 +101,7 @@
 	return made
 }
 
-// settle ends loads that are done. The caller holds the mutex.
+// settle completes loads whose time has passed. The caller holds the mutex.
 func (f *fakeEngines) settle() {
 	busy := 0
 	for _, engine := range f.engines {
@@ -131,7 +131,7 @@
 func (f *fakeEngines) Give(_ context.Context, order Order) (Reply, error) {
 	switch luck := rand.Float64(); {
 	case luck < f.trouble/2:
-		// The order is carried out later, and its answer never comes.
+		// The order is delayed and its reply is lost.
 		time.AfterFunc(time.Duration(rand.IntN(900))*time.Millisecond, func() { f.carryOut(order) })
 		return ReplyRefused, errors.New("no answer")
 	case luck < f.trouble:
@@ -192,8 +192,8 @@
 	return map[identity.ModelName]uint64{"m": n.version.Load()}
 }
 
-// grantedLease is a lease that tests give and take. Where it must rest, orders may be
-// given only that long after it was asked for them first.
+// grantedLease is a lease that tests grant and revoke. Orders are permitted only once rest has passed since the first
+// SetActing(true).
 type grantedLease struct {
 	token atomic.Uint64
 	rest  time.Duration
@@ -229,7 +229,7 @@
 // TryAct implements Lease.
 func (l *grantedLease) TryAct() (identity.FencingToken, bool) { return l.MayAct() }
 
-// keep starts a Keeper that holds a lease under a token.
+// keep starts a Keeper that holds a lease with the given token.
 func keep(t *testing.T, engines *fakeEngines, table port.TableService, named Named, holder string, token uint64) (*Keeper, *grantedLease) {
 	t.Helper()
 	lease := &grantedLease{}
@@ -263,8 +263,8 @@
 	}
 }
 
-// TestAllComeToTheNewestVersion skips versions that were superseded, and never has
-// more than a third of the back ends loading.
+// TestAllComeToTheNewestVersion checks that superseded versions are skipped, and that never more than a third of the
+// back ends load at a time.
 func TestAllComeToTheNewestVersion(t *testing.T) {
 	engines, named := newEngines(9), &namedVersion{}
 	named.version.Store(2)
@@ -281,8 +281,8 @@
 	}
 }
 
-// TestLostAndLateOrdersNeverBringAnOldVersionBack loses answers and delays orders
-// while versions follow each other.
+// TestLostAndLateOrdersNeverBringAnOldVersionBack guards against a delayed or repeated order that reloads an old
+// version: replies are lost and orders delayed while new versions are named.
 func TestLostAndLateOrdersNeverBringAnOldVersionBack(t *testing.T) {
 	engines, named := newEngines(6), &namedVersion{}
 	engines.trouble = 0.5
@@ -302,7 +302,7 @@
 	}
 }
 
-// TestNoOrdersWithoutTheLease stops at once when the lease is lost.
+// TestNoOrdersWithoutTheLease checks that no further orders are sent once the lease is lost.
 func TestNoOrdersWithoutTheLease(t *testing.T) {
 	engines, named := newEngines(6), &namedVersion{}
 	engines.loadTime = 300 * time.Millisecond
@@ -323,11 +323,11 @@
 	time.Sleep(700 * time.Millisecond)
 	engines.mutex.Lock()
 	defer engines.mutex.Unlock()
-	// One order may have been on its way when the lease was lost.
+	// Orders may have been in flight when the lease was lost.
 	assert.Assert(t, len(engines.holders) <= given+2, "%d orders after the lease was lost", len(engines.holders)-given)
 }
 
-// TestNewHolderWaitsAfterAnother gives no order before the lease allows any.
+// TestNewHolderWaitsAfterAnother checks that a new holder sends no order before the lease permits it.
 func TestNewHolderWaitsAfterAnother(t *testing.T) {
 	engines, named := newEngines(3), &namedVersion{}
 	named.version.Store(2)
@@ -337,7 +337,7 @@
 	assert.Assert(t, time.Since(started) >= 300*time.Millisecond)
 }
 
-// TestTableDownStopsNoUpdate goes on with orders while the plan cannot be written.
+// TestTableDownStopsNoUpdate checks that updates continue while the plan's row cannot be written.
 func TestTableDownStopsNoUpdate(t *testing.T) {
 	engines, named, table := newEngines(3), &namedVersion{}, newTable()
 	table.failing = true
@@ -346,7 +346,7 @@
 	poll.WaitOn(t, allHold(engines, 2), poll.WithTimeout(10*time.Second))
 }
 
-// plannedChanges tells a follower to look every few milliseconds.
+// plannedChanges makes a follower read the plan's row every few milliseconds.
 type plannedChanges struct{}
 
 func (plannedChanges) WaitPlan(ctx context.Context, after uint64, _ time.Duration) (uint64, error) {
@@ -357,7 +357,7 @@
 	return after, nil
 }
 
-// beginByVersionTwo lets nothing begin on versions before the second.
+// beginByVersionTwo forbids requests to begin on versions older than 2.
 func beginByVersionTwo(version uint64) time.Time {
 	if version < 2 {
 		return time.Unix(0, 0)
@@ -365,7 +365,7 @@
 	return time.Time{}
 }
 
-// TestFollowerHeedsThePlan avoids what loads and learns what is loaded.
+// TestFollowerHeedsThePlan checks that a follower avoids back ends that load and learns which versions were loaded.
 func TestFollowerHeedsThePlan(t *testing.T) {
 	engines, table := newEngines(2), newTable()
 	pool := engines.pool()
@@ -383,7 +383,7 @@
 		if ticket != nil && ticket.Backend.ID == "e01" {
 			return poll.Success()
 		}
-		return poll.Continue("the plan is not heeded")
+		return poll.Continue("the plan is not applied")
 	})
 	for home := range uint64(10) {
 		ticket := pool.Pick(time.Now(), backendpool.Query{Service: "s", Model: "m", Home: home + 1})
--- a/internal/weightupdate/wire_test.go
+++ b/internal/weightupdate/wire_test.go
@@ -6,7 +6,7 @@
 	"github.com/lotusward/lotusward/internal/wiretest"
 )
 
-// TestOtherBuildsAreUnderstood holds what passes to other builds to the bytes that they write.
+// TestOtherBuildsAreUnderstood checks that messages and rows recorded from other builds decode and encode unchanged.
 func TestOtherBuildsAreUnderstood(t *testing.T) {
 	wiretest.Datagram[Announcement](t, "plan", nil)
 	wiretest.Row[Plan](t, "plan_row", nil)
