--- a/cmd/internal/daemon/bounds.go
+++ b/cmd/internal/daemon/bounds.go
@@ -54,7 +54,7 @@
 	// counts as reached: another one takes over in that time.
 	reachedIntervals = 4
 	// leaseLinger is how long the lease is kept after the last work: its holder tells what it has loaded.
-	leaseLinger = weightupdate.AnnounceTime
+	leaseLinger = weightupdate.AnnounceDuration
 	// checkShare of the time in which a configuration must be in force, and keyCheckShare
 	// of the time in which a revoked key must stop working, are how often the daemon that
 	// reads for all checks what operators declared: another one has to notice that it is
--- a/cmd/internal/daemon/duty.go
+++ b/cmd/internal/daemon/duty.go
@@ -16,12 +16,12 @@
 func (w *Daemon) wireDuty() {
 	bounds := w.settings.Bounds
 	duty := &leasekeeper.Duty{
-		Pending: func() bool { return w.weights.Pending() }, First: w.directory.IsReader,
-		Patience: updatePatience(bounds),
+		Pending: func() bool { return w.weights.Pending() }, Preferred: w.directory.IsReader,
+		PreferredTimeout: updatePatience(bounds),
 		Candidate: &leasekeeper.Candidate{
 			Count: w.members.Count, Share: w.shareOfRoom, Held: w.holdsLease, Growth: updatePatience(bounds),
 		},
-		HolderHeardAt: func() time.Time { return w.follower.HeardAt() }, Lapse: leaseDuration(bounds),
+		HolderAnnouncedAt: func() time.Time { return w.follower.LastAnnouncementAt() }, LeaseLifetime: leaseDuration(bounds),
 		Reachable: func() bool { return clock.Since(w.directory.ConfirmedAt()) < reachedIntervals*checkInterval(bounds) },
 		Linger:    rest(bounds) + leaseLinger,
 	}
@@ -53,7 +53,7 @@
 		Table: w.store, Changes: w.store, Pool: w.backends, Lease: w.keeper, Log: w.part("weights"),
 		Pending: w.weights.Pending,
 	}
-	peerlink.HandleDecoded(w.link, peerlink.KindPlan, func(_ string, announced weightupdate.Announcement) { w.follower.Hear(announced) })
+	peerlink.HandleDecoded(w.link, peerlink.KindPlan, func(_ string, announced weightupdate.Announcement) { w.follower.HandleAnnouncement(announced) })
 }
 
 // dueBy is until when back ends with a version of a model's weights may begin requests.
--- a/internal/leasekeeper/duty.go
+++ b/internal/leasekeeper/duty.go
@@ -14,16 +14,16 @@
 type Duty struct {
 	// Pending tells whether there is work.
 	Pending func() bool
-	// First tells whether this daemon is to take the lease at once; others wait.
-	First func() bool
-	// Patience is how long the one that is to take the lease first has for it before others try.
-	Patience time.Duration
+	// Preferred tells whether this daemon is to take the lease at once; others wait.
+	Preferred func() bool
+	// PreferredTimeout is how long the one that is to take the lease first has for it before others try.
+	PreferredTimeout time.Duration
 	// Candidate draws who tries beside it.
 	Candidate *Candidate
-	// HolderHeardAt tells when a holder of the lease was last heard of, and Lapse after how long its lease has surely lapsed;
+	// HolderAnnouncedAt tells when a holder of the lease was last heard of, and LeaseLifetime after how long its lease has surely lapsed;
 	// nil hears of none. More candidates try only from then on.
-	HolderHeardAt func() time.Time
-	Lapse         time.Duration
+	HolderAnnouncedAt func() time.Time
+	LeaseLifetime     time.Duration
 	// Reachable tells whether any daemon reaches the table; nil takes it for reached. While none does, more candidates
 	// gain nothing.
 	Reachable func() bool
@@ -53,13 +53,13 @@
 	case d.since.IsZero():
 		return false
 	default:
-		return d.First() || d.othersTry(now)
+		return d.Preferred() || d.othersTry(now)
 	}
 }
 
 // othersTry tells whether this daemon tries though another one is to take the lease first. The caller holds the mutex.
 func (d *Duty) othersTry(now time.Time) bool {
-	from := d.since.Add(d.Patience)
+	from := d.since.Add(d.PreferredTimeout)
 	return now.After(from) && d.Candidate.EligibleAfter(now, now.Sub(d.untakenSince(now, from)))
 }
 
@@ -68,8 +68,8 @@
 	if d.unreached {
 		return now
 	}
-	if d.HolderHeardAt != nil {
-		from = later(from, d.HolderHeardAt().Add(d.Lapse))
+	if d.HolderAnnouncedAt != nil {
+		from = later(from, d.HolderAnnouncedAt().Add(d.LeaseLifetime))
 	}
 	return later(from, d.unreachedAt)
 }
--- a/internal/leasekeeper/duty_test.go
+++ b/internal/leasekeeper/duty_test.go
@@ -30,9 +30,9 @@
 	world := &dutyWorld{now: time.Unix(1_000_000, 0), pending: true, reached: true}
 	for range daemons {
 		world.duties = append(world.duties, &Duty{
-			Pending: func() bool { return world.pending }, First: func() bool { return false }, Patience: dutyPatience,
-			Candidate:     &Candidate{Count: func() int { return daemons }, Held: func() bool { return false }, Growth: dutyGrowth},
-			HolderHeardAt: func() time.Time { return world.holderHeardAt }, Lapse: dutyLapse,
+			Pending: func() bool { return world.pending }, Preferred: func() bool { return false }, PreferredTimeout: dutyPatience,
+			Candidate:         &Candidate{Count: func() int { return daemons }, Held: func() bool { return false }, Growth: dutyGrowth},
+			HolderAnnouncedAt: func() time.Time { return world.holderHeardAt }, LeaseLifetime: dutyLapse,
 			Reachable: func() bool { return world.reached },
 		})
 	}
--- a/internal/leasekeeper/keeper.go
+++ b/internal/leasekeeper/keeper.go
@@ -114,9 +114,9 @@
 // any goroutine.
 func (k *Keeper) Row() port.Row { return *k.row.Load() }
 
-// Hear takes in the row as its holder has told it, so that it need not be read. It is
+// ObserveRow takes in the row as its holder has told it, so that it need not be read. It is
 // safe for any goroutine and never blocks.
-func (k *Keeper) Hear(row port.Row) {
+func (k *Keeper) ObserveRow(row port.Row) {
 	select {
 	case k.heard <- row:
 	default:
--- a/internal/weightupdate/announcement.go
+++ b/internal/weightupdate/announcement.go
@@ -16,9 +16,9 @@
 	// idleAnnounceInterval the period otherwise.
 	announceInterval     = 200 * time.Millisecond
 	idleAnnounceInterval = time.Second
-	// AnnounceTime is how long a completed load is repeated in announcements. A daemon that starts in this time may have
-	// copied a back-end list that predates the load.
-	AnnounceTime = 3 * time.Second
+	// AnnounceDuration is how long a completed load is repeated in announcements. A daemon that starts in this time may
+	// have copied a back-end list that predates the load.
+	AnnounceDuration = 3 * time.Second
 	// maxAnnouncedLoads limits the loads in one announcement, which must fit into a datagram. Each load takes up to two
 	// keys of nine bytes.
 	maxAnnouncedLoads = 200
@@ -33,7 +33,7 @@
 	Loading []uint64
 	// Next are the back ends that are updated next.
 	Next []uint64
-	// Loaded are the back ends that loaded new weights within AnnounceTime.
+	// Loaded are the back ends that loaded new weights within AnnounceDuration.
 	Loaded []LoadedGroup
 	// LeaseVersion and LeaseValue are the lease's row, so that receivers need not read it from the table.
 	LeaseVersion uint64
@@ -79,7 +79,7 @@
 
 // due returns the announcement to send now, or false if none is due.
 func (a *announcer) due(now time.Time, plan *Plan, held port.Row) (Announcement, bool) {
-	a.recent = slices.DeleteFunc(a.recent, func(load recentLoad) bool { return now.Sub(load.at) > AnnounceTime })
+	a.recent = slices.DeleteFunc(a.recent, func(load recentLoad) bool { return now.Sub(load.at) > AnnounceDuration })
 	interval := idleAnnounceInterval
 	if a.changed || len(a.recent) > 0 {
 		interval = announceInterval
--- a/internal/weightupdate/announcement_test.go
+++ b/internal/weightupdate/announcement_test.go
@@ -24,12 +24,12 @@
 	table.failing = true
 	pool := engines.pool()
 	follower := &Follower{Table: table, Changes: plannedChanges{}, Pool: pool, Lease: &grantedLease{}, Log: logging.Discard()}
-	follower.Hear(Announcement{
+	follower.HandleAnnouncement(Announcement{
 		Token: 5, Loading: backendKeys([]identity.BackendID{"e00"}),
 		Loaded: []LoadedGroup{{Model: "m", Version: 2, Backends: backendKeys([]identity.BackendID{"e01"})}},
 	})
-	follower.Hear(Announcement{Token: 4, Loading: backendKeys([]identity.BackendID{"e01", "e02"})})
-	assert.Assert(t, follower.Hears())
+	follower.HandleAnnouncement(Announcement{Token: 4, Loading: backendKeys([]identity.BackendID{"e01", "e02"})})
+	assert.Assert(t, follower.ReceivesAnnouncements())
 	for home := range uint64(10) {
 		ticket := pool.Pick(time.Now(), backendpool.Query{Service: "s", Model: "m", Home: home + 1, BeginBy: beginByVersionTwo})
 		assert.Equal(t, ticket.Backend.ID, identity.BackendID("e01"))
@@ -80,7 +80,7 @@
 
 // TestStarterIsToldOfRecentLoads guards against a starting daemon that misses a load because its copied back-end list
 // predates it. With more loads than fit into one datagram, every load must be announced both before and after the
-// start, and none for longer than AnnounceTime.
+// start, and none for longer than AnnounceDuration.
 func TestStarterIsToldOfRecentLoads(t *testing.T) {
 	const loads = 3 * maxAnnouncedLoads
 	made := announcer{announce: func(Announcement) {}}
@@ -88,9 +88,9 @@
 	for number := range loads {
 		made.recordLoad(began, Loaded{Backend: identity.NewBackendID(identity.BackendName(fmt.Sprint("e", number)), 7), Model: "m", Version: 2})
 	}
-	startedAt := began.Add(AnnounceTime / 2)
+	startedAt := began.Add(AnnounceDuration / 2)
 	before, after := map[uint64]bool{}, map[uint64]bool{}
-	for now := began; now.Sub(began) <= AnnounceTime; now = now.Add(announceInterval) {
+	for now := began; now.Sub(began) <= AnnounceDuration; now = now.Add(announceInterval) {
 		announced, due := made.due(now, &Plan{Token: 1}, port.Row{})
 		assert.Assert(t, due)
 		encoded, err := codec.Marshal(&announced)
@@ -106,6 +106,6 @@
 	}
 	assert.Equal(t, len(before), 2*loads)
 	assert.Equal(t, len(after), 2*loads)
-	_, due := made.due(began.Add(AnnounceTime+announceInterval), &Plan{Token: 1}, port.Row{})
-	assert.Assert(t, !due, "loads are announced for longer than AnnounceTime")
+	_, due := made.due(began.Add(AnnounceDuration+announceInterval), &Plan{Token: 1}, port.Row{})
+	assert.Assert(t, !due, "loads are announced for longer than AnnounceDuration")
 }
--- a/internal/weightupdate/follower.go
+++ b/internal/weightupdate/follower.go
@@ -49,8 +49,9 @@
 	lastAnnouncementAt time.Time
 }
 
-// Hear applies a holder's announcement. Announcements with a fencing token older than the highest seen are ignored.
-func (f *Follower) Hear(announced Announcement) {
+// HandleAnnouncement applies a holder's announcement. Announcements with a fencing token older than the highest seen
+// are ignored.
+func (f *Follower) HandleAnnouncement(announced Announcement) {
 	if _, held := f.Lease.Held(); held || !f.acceptToken(announced.Token) {
 		return
 	}
@@ -59,7 +60,7 @@
 	f.mutex.Unlock()
 	announced.apply(f.Pool)
 	if announced.LeaseVersion > 0 {
-		f.Lease.Hear(port.Row{Key: KeyLease, Version: announced.LeaseVersion, Value: announced.LeaseValue})
+		f.Lease.ObserveRow(port.Row{Key: KeyLease, Version: announced.LeaseVersion, Value: announced.LeaseValue})
 	}
 }
 
@@ -74,16 +75,16 @@
 	return true
 }
 
-// HeardAt returns when a holder last announced its plan, or zero if none has.
-func (f *Follower) HeardAt() time.Time {
+// LastAnnouncementAt returns when a holder last announced its plan, or zero if none has.
+func (f *Follower) LastAnnouncementAt() time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.lastAnnouncementAt
 }
 
-// Hears reports whether announcements arrive, so that the plan's row need not be read.
-func (f *Follower) Hears() bool {
-	return clock.Since(f.HeardAt()) < announcementTimeout
+// ReceivesAnnouncements reports whether announcements arrive, so that the plan's row need not be read.
+func (f *Follower) ReceivesAnnouncements() bool {
+	return clock.Since(f.LastAnnouncementAt()) < announcementTimeout
 }
 
 // Run follows the plan until the context ends. The row is read only if the daemon has needed a plan for
@@ -120,7 +121,7 @@
 
 // needsRow reports whether this daemon needs the plan and receives no announcements.
 func (f *Follower) needsRow() bool {
-	return !f.Hears() && f.Pending()
+	return !f.ReceivesAnnouncements() && f.Pending()
 }
 
 func (f *Follower) wait(ctx context.Context, after uint64) (uint64, error) {
--- a/internal/weightupdate/keeper.go
+++ b/internal/weightupdate/keeper.go
@@ -398,7 +398,7 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	reply, err := k.options.Orders.Give(bounded, order)
+	reply, err := k.options.Orders.SendOrder(bounded, order)
 	k.options.Log.WithFields(logrus.Fields{
 		"backend": order.Backend.ID, "model": order.Model, "version": order.Version,
 		"token": order.Token, "expected": order.Expected, "reply": reply.String(), "error": err,
--- a/internal/weightupdate/pace_test.go
+++ b/internal/weightupdate/pace_test.go
@@ -167,11 +167,11 @@
 	return r.fakeEngines.Report(ctx, backend)
 }
 
-// Give implements Orders.
-func (r replacing) Give(ctx context.Context, order Order) (Reply, error) {
+// SendOrder implements Orders.
+func (r replacing) SendOrder(ctx context.Context, order Order) (Reply, error) {
 	if !r.exists(order.Backend) {
 		time.Sleep(50 * time.Millisecond)
 		return ReplyReplaced, nil
 	}
-	return r.fakeEngines.Give(ctx, order)
+	return r.fakeEngines.SendOrder(ctx, order)
 }
--- a/internal/weightupdate/plan.go
+++ b/internal/weightupdate/plan.go
@@ -136,8 +136,8 @@
 // Orders requests reports from back ends and sends them orders.
 type Orders interface {
 	Report(ctx context.Context, backend backendpool.Backend) (Report, error)
-	// Give sends an order. After an error the order may have been accepted, or may still be carried out later.
-	Give(ctx context.Context, order Order) (Reply, error)
+	// SendOrder sends an order. After an error the order may have been accepted, or may still be carried out later.
+	SendOrder(ctx context.Context, order Order) (Reply, error)
 }
 
 // Named provides the versions to load.
@@ -155,9 +155,9 @@
 	SetActing(acting bool)
 	MayAct() (identity.FencingToken, bool)
 	TryAct() (identity.FencingToken, bool)
-	// Row returns the lease's row, and Hear accepts the row that the holder has announced.
+	// Row returns the lease's row, and ObserveRow accepts the row that the holder has announced.
 	Row() port.Row
-	Hear(row port.Row)
+	ObserveRow(row port.Row)
 }
 
 // Timing and concurrency limits of an update.
--- a/internal/weightupdate/update_test.go
+++ b/internal/weightupdate/update_test.go
@@ -128,7 +128,7 @@
 	}, nil
 }
 
-func (f *fakeEngines) Give(_ context.Context, order Order) (Reply, error) {
+func (f *fakeEngines) SendOrder(_ context.Context, order Order) (Reply, error) {
 	switch luck := rand.Float64(); {
 	case luck < f.trouble/2:
 		// The order is delayed and its reply is lost.
@@ -208,8 +208,8 @@
 // Row implements Lease.
 func (l *grantedLease) Row() port.Row { return port.Row{} }
 
-// Hear implements Lease.
-func (l *grantedLease) Hear(port.Row) {}
+// ObserveRow implements Lease.
+func (l *grantedLease) ObserveRow(port.Row) {}
 
 // SetActing implements Lease.
 func (l *grantedLease) SetActing(acting bool) {
