--- a/internal/leasekeeper/acting_test.go
+++ b/internal/leasekeeper/acting_test.go
@@ -13,20 +13,19 @@
 	"github.com/lotusward/lotusward/internal/port"
 )
 
-// heldUpTable is a table of one row. It holds a commit up that says that nobody acts,
-// once one before it said that the holder does.
-type heldUpTable struct {
+// blockingTable is a table of one row. It blocks the first commit of a row without Acting that follows one with it.
+type blockingTable struct {
 	port.TableService
 	mutex   sync.Mutex
 	version uint64
 	acted   bool
-	// heldUp is closed while such a commit is under way, and let lets it go on.
-	heldUp, let chan struct{}
+	// blocked is closed once such a commit has started, and closing unblock lets it continue.
+	blocked, unblock chan struct{}
 }
 
-func (t *heldUpTable) Read(context.Context, ...string) ([]port.Row, error) { return nil, nil }
+func (t *blockingTable) Read(context.Context, ...string) ([]port.Row, error) { return nil, nil }
 
-func (t *heldUpTable) Commit(_ context.Context, change port.Transaction) ([]port.Row, error) {
+func (t *blockingTable) Commit(_ context.Context, change port.Transaction) ([]port.Row, error) {
 	var record lease.Record
 	if err := json.Unmarshal(change.Writes[0].Value, &record); err != nil {
 		return nil, err
@@ -35,20 +34,19 @@
 	defer t.mutex.Unlock()
 	if t.acted && !record.Acting {
 		t.acted = false
-		close(t.heldUp)
-		<-t.let
+		close(t.blocked)
+		<-t.unblock
 	}
 	t.acted = t.acted || record.Acting
 	t.version++
 	return []port.Row{{Key: change.Writes[0].Key, Version: t.version}}, nil
 }
 
-// TestNobodyActsOnceTheRowMaySaySo lets the row say that the holder doesn't act while the
-// commit takes long: the holder must not act from its begin on, since the next holder
-// need not wait once it has taken effect.
+// TestNobodyActsOnceTheRowMaySaySo guards against a holder that acts while a slow commit clears Acting in the row. The
+// holder must not act once the commit has started, since the next holder need not wait after it has taken effect.
 func TestNobodyActsOnceTheRowMaySaySo(t *testing.T) {
 	var clock clock
-	table := &heldUpTable{heldUp: make(chan struct{}), let: make(chan struct{})}
+	table := &blockingTable{blocked: make(chan struct{}), unblock: make(chan struct{})}
 	keeper := newKeeper(table, "one", &clock)
 	defer start(t, keeper.Run)()
 	waitHeld(t, keeper)
@@ -59,11 +57,11 @@
 		}
 		return poll.Continue("the holder may not act")
 	})
-	// The renewal falls due in the moment in which nobody wants to act any more.
+	// The renewal becomes due just after the holder stops wanting to act.
 	keeper.SetActing(false)
 	clock.jump.Store(int64(duration / 2))
-	<-table.heldUp
+	<-table.blocked
 	_, may := keeper.TryAct()
-	close(table.let)
+	close(table.unblock)
 	assert.Assert(t, !may)
 }
--- a/internal/leasekeeper/candidate_test.go
+++ b/internal/leasekeeper/candidate_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFewCandidatesAmongMany has about as many candidates at any time as expected,
-// different ones over time, and never leaves out a holder.
+// TestFewCandidatesAmongMany checks that the number of candidates stays near the expected one, that they change over
+// time, and that a holder is always a candidate.
 func TestFewCandidatesAmongMany(t *testing.T) {
 	const daemons = 400
 	candidates := make([]*Candidate, daemons)
@@ -18,7 +18,7 @@
 	ever := map[int]bool{}
 	now := time.Unix(1_000_000, 0)
 	for range 200 {
-		now = now.Add(candidateTime)
+		now = now.Add(redrawInterval)
 		present := 0
 		for index, candidate := range candidates {
 			if candidate.Eligible(now) {
@@ -32,14 +32,15 @@
 	assert.Assert(t, len(ever) > daemons/2, "only %d daemons were ever candidates", len(ever))
 }
 
-// TestAllAreCandidatesAmongFew leaves nobody out of a small deployment.
+// TestAllAreCandidatesAmongFew checks that every daemon of a small deployment is a candidate.
 func TestAllAreCandidatesAmongFew(t *testing.T) {
 	candidate := &Candidate{Count: func() int { return expectedCandidates }, Held: func() bool { return false }}
 	assert.Assert(t, candidate.Eligible(time.Now()))
 }
 
-// TestCandidatesHaveRoom draws those with nine times the room more often, about as many at a time, and
-// still some of the others where all with room are gone.
+// TestCandidatesHaveRoom checks that daemons with nine times the capacity are drawn more often, that the number of
+// candidates stays near the expected one, and that some of the other daemons are drawn in case all large ones have
+// failed.
 func TestCandidatesHaveRoom(t *testing.T) {
 	const daemons, large = 76, 12
 	const all = large*9 + (daemons - large)
@@ -55,30 +56,30 @@
 	}
 	now := time.Unix(1_000_000, 0)
 	const rounds = 400
-	withRoom, without := 0, 0
+	drawnLarge, drawnSmall := 0, 0
 	for range rounds {
-		now = now.Add(2 * candidateTime)
+		now = now.Add(2 * redrawInterval)
 		for index, candidate := range candidates {
 			switch drawn := candidate.Eligible(now); {
 			case drawn && index < large:
-				withRoom++
+				drawnLarge++
 			case drawn:
-				without++
+				drawnSmall++
 			}
 		}
 	}
-	perRound := float64(withRoom+without) / rounds
+	perRound := float64(drawnLarge+drawnSmall) / rounds
 	assert.Assert(t, perRound > expectedCandidates*0.8 && perRound < expectedCandidates*1.3, "%v candidates", perRound)
-	assert.Assert(t, float64(withRoom)/rounds > 2.5, "%d with room", withRoom)
-	assert.Assert(t, float64(without)/rounds > 1.5, "%d without", without)
+	assert.Assert(t, float64(drawnLarge)/rounds > 2.5, "%d with more capacity", drawnLarge)
+	assert.Assert(t, float64(drawnSmall)/rounds > 1.5, "%d with less capacity", drawnSmall)
 }
 
-// TestLittleRoomIsSomeRoom draws a daemon of hardly any room too, for when the others are gone.
+// TestLittleRoomIsSomeRoom checks that a daemon without spare capacity is still drawn, in case the others have failed.
 func TestLittleRoomIsSomeRoom(t *testing.T) {
 	candidate := &Candidate{Count: func() int { return 76 }, Share: func() float64 { return 0 }, Held: func() bool { return false }}
 	now, drawn := time.Unix(1_000_000, 0), 0
 	for range 2000 {
-		now = now.Add(2 * candidateTime)
+		now = now.Add(2 * redrawInterval)
 		if candidate.Eligible(now) {
 			drawn++
 		}
--- a/internal/leasekeeper/duty.go
+++ b/internal/leasekeeper/duty.go
@@ -5,98 +5,101 @@
 	"time"
 )
 
-// lookInterval is how often it is looked whether there is work: that goes through all back
-// ends.
-const lookInterval = 200 * time.Millisecond
+// checkInterval is how often Duty checks whether there is work. A check iterates over all back ends.
+const checkInterval = 200 * time.Millisecond
 
-// Duty decides whether a daemon tries for a lease that is needed only while there is
-// work: nobody holds it, or calls the table for it, while there is none.
+// Duty decides whether a daemon tries for a lease that is needed only while there is work. While there is none, no
+// daemon holds the lease or calls the table for it.
 type Duty struct {
-	// Pending tells whether there is work.
+	// Pending reports whether there is work.
 	Pending func() bool
-	// Preferred tells whether this daemon is to take the lease at once; others wait.
+	// Preferred reports whether this daemon is the preferred holder, which tries at once; the others wait for
+	// PreferredTimeout.
 	Preferred func() bool
-	// PreferredTimeout is how long the one that is to take the lease first has for it before others try.
+	// PreferredTimeout is how long the preferred holder has to take the lease before other daemons try.
 	PreferredTimeout time.Duration
-	// Candidate draws who tries beside it.
+	// Candidate selects the daemons that try besides the preferred holder.
 	Candidate *Candidate
-	// HolderAnnouncedAt tells when a holder of the lease was last heard of, and LeaseLifetime after how long its lease has surely lapsed;
-	// nil hears of none. More candidates try only from then on.
+	// HolderAnnouncedAt returns when a holder of the lease last announced itself, and LeaseLifetime is the time after
+	// which its lease has certainly expired. The number of candidates grows only from then on. Nil means that
+	// announcements are not known.
 	HolderAnnouncedAt func() time.Time
 	LeaseLifetime     time.Duration
-	// Reachable tells whether any daemon reaches the table; nil takes it for reached. While none does, more candidates
-	// gain nothing.
+	// Reachable reports whether any daemon reaches the table; nil means that it is always reachable. While none does, more
+	// candidates would gain nothing.
 	Reachable func() bool
-	// Linger is how long a holder keeps the lease after the work: the next one need not
-	// wait then.
+	// Linger is how long a holder keeps the lease after the work has ended, so that new work need not wait for a holder.
 	Linger time.Duration
 
 	mutex sync.Mutex
-	// lookedAt is when it was looked last.
-	lookedAt time.Time
-	// since is when the present work was first seen, and last when there was any.
-	since, last time.Time
-	// unreached is set where no daemon reached the table at the last look, and unreachedAt is when that last was so.
-	unreached   bool
-	unreachedAt time.Time
+	// checkedAt is the time of the last check.
+	checkedAt time.Time
+	// pendingSince is when the current work was first seen (zero if there is none), and lastPendingAt when any was last
+	// seen.
+	pendingSince, lastPendingAt time.Time
+	// unreachable is set if no daemon reached the table at the last check; lastUnreachableAt is the last such check.
+	unreachable       bool
+	lastUnreachableAt time.Time
 }
 
-// Eligible tells whether the daemon tries for the lease now.
+// Eligible reports whether the daemon tries for the lease now.
 func (d *Duty) Eligible(now time.Time) bool {
 	held := d.Candidate.Held()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.note(now)
+	d.refresh(now)
 	switch {
 	case held:
-		return now.Sub(d.last) <= d.Linger
-	case d.since.IsZero():
+		return now.Sub(d.lastPendingAt) <= d.Linger
+	case d.pendingSince.IsZero():
 		return false
 	default:
-		return d.Preferred() || d.othersTry(now)
+		return d.Preferred() || d.eligibleAsBackup(now)
 	}
 }
 
-// othersTry tells whether this daemon tries though another one is to take the lease first. The caller holds the mutex.
-func (d *Duty) othersTry(now time.Time) bool {
-	from := d.since.Add(d.PreferredTimeout)
-	return now.After(from) && d.Candidate.EligibleAfter(now, now.Sub(d.untakenSince(now, from)))
+// eligibleAsBackup reports whether this daemon tries although another one is the preferred holder. The caller holds the
+// mutex.
+func (d *Duty) eligibleAsBackup(now time.Time) bool {
+	from := d.pendingSince.Add(d.PreferredTimeout)
+	return now.After(from) && d.Candidate.EligibleAfter(now, now.Sub(d.availableSince(now, from)))
 }
 
-// untakenSince is since when nobody takes the lease though somebody could. The caller holds the mutex.
-func (d *Duty) untakenSince(now, from time.Time) time.Time {
-	if d.unreached {
+// availableSince returns the time since when the lease has been free although a daemon could have taken it. The caller
+// holds the mutex.
+func (d *Duty) availableSince(now, from time.Time) time.Time {
+	if d.unreachable {
 		return now
 	}
 	if d.HolderAnnouncedAt != nil {
-		from = later(from, d.HolderAnnouncedAt().Add(d.LeaseLifetime))
+		from = latest(from, d.HolderAnnouncedAt().Add(d.LeaseLifetime))
 	}
-	return later(from, d.unreachedAt)
+	return latest(from, d.lastUnreachableAt)
 }
 
-func later(left, right time.Time) time.Time {
+func latest(left, right time.Time) time.Time {
 	if left.After(right) {
 		return left
 	}
 	return right
 }
 
-// note looks whether there is work. The caller holds the mutex.
-func (d *Duty) note(now time.Time) {
-	if now.Sub(d.lookedAt) < lookInterval {
+// refresh checks whether there is work, at most once per checkInterval. The caller holds the mutex.
+func (d *Duty) refresh(now time.Time) {
+	if now.Sub(d.checkedAt) < checkInterval {
 		return
 	}
-	d.lookedAt = now
+	d.checkedAt = now
 	if !d.Pending() {
-		d.since = time.Time{}
+		d.pendingSince = time.Time{}
 		return
 	}
-	d.last = now
-	if d.since.IsZero() {
-		d.since = now
+	d.lastPendingAt = now
+	if d.pendingSince.IsZero() {
+		d.pendingSince = now
 	}
-	d.unreached = d.Reachable != nil && !d.Reachable()
-	if d.unreached {
-		d.unreachedAt = now
+	d.unreachable = d.Reachable != nil && !d.Reachable()
+	if d.unreachable {
+		d.lastUnreachableAt = now
 	}
 }
--- a/internal/leasekeeper/duty_test.go
+++ b/internal/leasekeeper/duty_test.go
@@ -9,49 +9,50 @@
 	"pgregory.net/rapid"
 )
 
-// Times of the duties in these tests.
+// Settings of the duties in these tests.
 const (
-	dutyPatience = 500 * time.Millisecond
-	dutyGrowth   = 500 * time.Millisecond
-	dutyLapse    = 700 * time.Millisecond
+	dutyPreferredTimeout = 500 * time.Millisecond
+	dutyGrowth           = 500 * time.Millisecond
+	dutyLeaseLifetime    = 700 * time.Millisecond
 )
 
-// dutyWorld is the duties of daemons that all see the same work.
-type dutyWorld struct {
+// dutyFleet simulates the duties of daemons that all see the same work.
+type dutyFleet struct {
 	now     time.Time
 	pending bool
-	// holderHeardAt is when a holder of the lease was last heard of, and reached is set while the table is.
-	holderHeardAt time.Time
-	reached       bool
-	duties        []*Duty
+	// holderAnnouncedAt is when a holder of the lease last announced itself, and reachable is set while the table is
+	// reachable.
+	holderAnnouncedAt time.Time
+	reachable         bool
+	duties            []*Duty
 }
 
-func newDutyWorld(daemons int) *dutyWorld {
-	world := &dutyWorld{now: time.Unix(1_000_000, 0), pending: true, reached: true}
+func newDutyFleet(daemons int) *dutyFleet {
+	fleet := &dutyFleet{now: time.Unix(1_000_000, 0), pending: true, reachable: true}
 	for range daemons {
-		world.duties = append(world.duties, &Duty{
-			Pending: func() bool { return world.pending }, Preferred: func() bool { return false }, PreferredTimeout: dutyPatience,
+		fleet.duties = append(fleet.duties, &Duty{
+			Pending: func() bool { return fleet.pending }, Preferred: func() bool { return false }, PreferredTimeout: dutyPreferredTimeout,
 			Candidate:         &Candidate{Count: func() int { return daemons }, Held: func() bool { return false }, Growth: dutyGrowth},
-			HolderAnnouncedAt: func() time.Time { return world.holderHeardAt }, LeaseLifetime: dutyLapse,
-			Reachable: func() bool { return world.reached },
+			HolderAnnouncedAt: func() time.Time { return fleet.holderAnnouncedAt }, LeaseLifetime: dutyLeaseLifetime,
+			Reachable: func() bool { return fleet.reachable },
 		})
 	}
-	return world
+	return fleet
 }
 
-// tryingAfter is how many daemons try once a time has passed.
-func (w *dutyWorld) tryingAfter(passes time.Duration) int {
-	last, _ := w.play(passes)
+// eligibleAfter advances the clock and returns how many daemons try at the end.
+func (f *dutyFleet) eligibleAfter(passes time.Duration) int {
+	last, _ := f.advance(passes)
 	return last
 }
 
-// play lets a time pass, and returns how many daemons try in the end, and the most that did at a time.
-func (w *dutyWorld) play(passes time.Duration) (last, most int) {
+// advance advances the clock, and returns how many daemons try at the end and the most that tried at a time.
+func (f *dutyFleet) advance(passes time.Duration) (last, most int) {
 	const step = 20 * time.Millisecond
-	for until := w.now.Add(passes); w.now.Before(until); w.now = w.now.Add(step) {
+	for until := f.now.Add(passes); f.now.Before(until); f.now = f.now.Add(step) {
 		last = 0
-		for _, duty := range w.duties {
-			if duty.Eligible(w.now) {
+		for _, duty := range f.duties {
+			if duty.Eligible(f.now) {
 				last++
 			}
 		}
@@ -60,49 +61,49 @@
 	return last, most
 }
 
-// TestSomebodyTriesWhoeverIsGone leaves any number of the daemons, without the one that is to begin: the lease lay untaken
-// for as long as none of them had drawn to try.
+// TestSomebodyTriesWhoeverIsGone guards against a lease that stays free because the preferred holder has failed and
+// none of the remaining daemons was drawn as a candidate.
 func TestSomebodyTriesWhoeverIsGone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := rapid.SampledFrom([]int{3, 24, 295, 985}).Draw(t, "daemons")
 		left := rapid.IntRange(1, min(daemons, 12)).Draw(t, "left")
-		world := newDutyWorld(daemons)
-		world.duties = world.duties[:left]
-		const bound = dutyPatience + dutyGrowth + lookInterval
-		assert.Equal(t, world.tryingAfter(bound), left, "%d of %d daemons left", left, daemons)
+		fleet := newDutyFleet(daemons)
+		fleet.duties = fleet.duties[:left]
+		const bound = dutyPreferredTimeout + dutyGrowth + checkInterval
+		assert.Equal(t, fleet.eligibleAfter(bound), left, "%d of %d daemons left", left, daemons)
 	})
 }
 
-// TestFewTryFirst has few daemons of a large fleet try at first, and more of them as time passes.
+// TestFewTryFirst checks that few daemons of a large fleet try at first, and more as time passes.
 func TestFewTryFirst(t *testing.T) {
 	const daemons, rounds = 985, 20
 	var first, halfway int
 	for range rounds {
-		world := newDutyWorld(daemons)
-		assert.Equal(t, world.tryingAfter(dutyPatience), 0)
-		first += world.tryingAfter(40 * time.Millisecond)
-		halfway += world.tryingAfter(dutyGrowth/2 - 40*time.Millisecond)
+		fleet := newDutyFleet(daemons)
+		assert.Equal(t, fleet.eligibleAfter(dutyPreferredTimeout), 0)
+		first += fleet.eligibleAfter(40 * time.Millisecond)
+		halfway += fleet.eligibleAfter(dutyGrowth/2 - 40*time.Millisecond)
 	}
 	assert.Assert(t, first < rounds*3*expectedCandidates, "%d tried first in %d rounds", first, rounds)
 	assert.Assert(t, halfway < rounds*daemons/8, "%d tried halfway in %d rounds", halfway, rounds)
 }
 
-// TestFewTryWhileAHolderMayLive has no more daemons try before the lease of a holder that was heard of has lapsed, nor while
-// nobody reaches the table.
+// TestFewTryWhileAHolderMayLive checks that the number of candidates doesn't grow before the lease of a known holder
+// has expired, nor while no daemon reaches the table.
 func TestFewTryWhileAHolderMayLive(t *testing.T) {
 	for _, example := range []struct {
-		heard, reached bool
+		announced, reachable bool
 	}{{true, true}, {false, false}} {
 		t.Run(fmt.Sprintf("%+v", example), func(t *testing.T) {
 			const daemons, rounds = 985, 10
 			sum := 0
 			for range rounds {
-				world := newDutyWorld(daemons)
-				world.reached = example.reached
-				if example.heard {
-					world.holderHeardAt = world.now.Add(dutyPatience + dutyGrowth)
+				fleet := newDutyFleet(daemons)
+				fleet.reachable = example.reachable
+				if example.announced {
+					fleet.holderAnnouncedAt = fleet.now.Add(dutyPreferredTimeout + dutyGrowth)
 				}
-				_, most := world.play(dutyPatience + dutyGrowth + dutyLapse)
+				_, most := fleet.advance(dutyPreferredTimeout + dutyGrowth + dutyLeaseLifetime)
 				sum += most
 			}
 			assert.Assert(t, sum < rounds*3*expectedCandidates, "%d tried in %d rounds", sum, rounds)
--- a/internal/leasekeeper/keeper.go
+++ b/internal/leasekeeper/keeper.go
@@ -1,6 +1,5 @@
-// Package leasekeeper drives a lease of package lease over the platform's table.
-// A duty that only one daemon may do at a time asks Held before each effect, and
-// sends the fencing token with it.
+// Package leasekeeper runs the state machine of package lease against the platform's table. Code that only one daemon
+// may run at a time calls Held before each side effect, and sends the fencing token with it.
 package leasekeeper
 
 import (
@@ -18,14 +17,14 @@
 	"github.com/lotusward/lotusward/internal/port"
 )
 
-// Defaults of the lease's times.
+// Default lease timing.
 const (
-	// DefaultDuration is how long a grant lasts unless it is renewed.
+	// DefaultDuration is how long a grant is valid unless it is renewed.
 	DefaultDuration = 10 * time.Second
-	// DefaultMaximumDrift is far more than what clocks without correction do.
+	// DefaultMaximumDrift is the assumed relative clock drift, far above that of uncorrected clocks.
 	DefaultMaximumDrift = 0.02
-	// callFraction of the duration bounds one call of the table. A table that is
-	// slow and no worse must not cost the lease.
+	// callFraction is the divisor of the lease duration that gives the timeout of a table call. A table that is merely
+	// slow must not cost the holder its lease.
 	callFraction = 2
 )
 
@@ -34,30 +33,29 @@
 	Table    port.TableService
 	Settings lease.Settings
 	Log      logrus.FieldLogger
-	// Eligible tells whether this daemon should try for the lease; nil means
-	// always. It is asked often and must not block. With hundreds of daemons
-	// only a few should be eligible, since each of them reads the row.
+	// Eligible reports whether this daemon should try for the lease; nil means always. It is called often and must not
+	// block. With hundreds of daemons only a few should be eligible, since each of them reads the row.
 	Eligible func() bool
-	// Now is the time by which the lease is judged; nil means clock.Now.
+	// Now is the clock that lease times are compared with; nil means clock.Now.
 	Now func() time.Time
 }
 
-// Keeper tries for a lease and keeps it while it runs.
+// Keeper acquires a lease and renews it while it runs.
 type Keeper struct {
 	options Options
 	machine *lease.Machine
 	grant   atomic.Pointer[lease.Grant]
 	acting  atomic.Bool
 	actedAt atomic.Pointer[time.Time]
-	// row is the newest known row.
+	// row is the newest known lease row.
 	row atomic.Pointer[port.Row]
-	// wake has a value when the row is to say at once that the holder acts.
+	// wake has a value when the row must be written at once to record that the holder acts.
 	wake chan struct{}
-	// heard has the newest row that a holder told.
-	heard chan port.Row
+	// announced buffers one row that a holder has announced.
+	announced chan port.Row
 }
 
-// New makes a keeper that holds nothing until it runs.
+// New returns a Keeper that doesn't try for the lease until Run is called.
 func New(options Options) *Keeper {
 	if options.Eligible == nil {
 		options.Eligible = func() bool { return true }
@@ -65,29 +63,28 @@
 	if options.Now == nil {
 		options.Now = clock.Now
 	}
-	keeper := &Keeper{options: options, machine: lease.New(options.Settings), wake: make(chan struct{}, 1), heard: make(chan port.Row, 1)}
+	keeper := &Keeper{options: options, machine: lease.New(options.Settings), wake: make(chan struct{}, 1), announced: make(chan port.Row, 1)}
 	keeper.grant.Store(&lease.Grant{})
 	keeper.row.Store(&port.Row{})
 	return keeper
 }
 
-// Held returns the fencing token and true while the lease is held by the clock of
-// this moment. It is safe for any goroutine. Since the caller may be paused
-// between this answer and its effect, the effect must carry the token.
+// Held returns the fencing token and true while the lease is valid at the current time. It is safe for concurrent use.
+// Since the caller may be paused between this call and its side effect, the effect must carry the token.
 func (k *Keeper) Held() (identity.FencingToken, bool) {
 	grant := k.grant.Load()
 	return grant.Token, grant.ValidAt(k.options.Now())
 }
 
-// MayAct returns the fencing token and true while the holder may act: the row says so
-// and was written lately enough, and the holder before has not acted for long enough. It
-// is safe for any goroutine.
+// MayAct returns the fencing token and true while the holder may act: the row says so and was written recently enough,
+// and the previous holder has not acted for long enough. It is safe for concurrent use.
 func (k *Keeper) MayAct() (identity.FencingToken, bool) {
 	grant := k.grant.Load()
 	return grant.Token, grant.MayActAt(k.options.Now())
 }
 
-// TryAct is as MayAct, for a caller that acts at once: a next holder waits because of it.
+// TryAct is like MayAct, for a caller that acts immediately afterwards. It records the action, for which the next
+// holder has to wait.
 func (k *Keeper) TryAct() (identity.FencingToken, bool) {
 	token, may := k.MayAct()
 	if !may {
@@ -95,11 +92,11 @@
 	}
 	now := k.options.Now()
 	k.actedAt.Store(&now)
-	// The lease may have been released before the act was noted.
+	// The lease may have been released before the action was recorded.
 	return k.MayAct()
 }
 
-// SetActing says whether the holder wants to act. It is safe for any goroutine.
+// SetActing sets whether the holder wants to act. It is safe for concurrent use.
 func (k *Keeper) SetActing(acting bool) {
 	if k.acting.Swap(acting) || !acting {
 		return
@@ -110,21 +107,19 @@
 	}
 }
 
-// Row returns the lease's row as this daemon knows it, for others to hear. It is safe for
-// any goroutine.
+// Row returns the lease row as this daemon knows it, to be announced to others. It is safe for concurrent use.
 func (k *Keeper) Row() port.Row { return *k.row.Load() }
 
-// ObserveRow takes in the row as its holder has told it, so that it need not be read. It is
-// safe for any goroutine and never blocks.
+// ObserveRow accepts the row that its holder has announced, so that it need not be read. It is safe for concurrent use
+// and never blocks.
 func (k *Keeper) ObserveRow(row port.Row) {
 	select {
-	case k.heard <- row:
+	case k.announced <- row:
 	default:
 	}
 }
 
-// Run tries for the lease until the context ends, and then releases it. It
-// always returns nil.
+// Run acquires and renews the lease until the context ends, and then releases it. It always returns nil.
 func (k *Keeper) Run(ctx context.Context) error {
 	ticker := time.NewTicker(k.options.Settings.RetryInterval())
 	defer ticker.Stop()
@@ -135,22 +130,22 @@
 			return nil
 		case <-ticker.C:
 		case <-k.wake:
-		case row := <-k.heard:
+		case row := <-k.announced:
 			if err := k.machine.ObserveRow(k.options.Now(), row); err != nil {
-				k.options.Log.WithError(err).Error("The lease's row, as told, cannot be read.")
+				k.options.Log.WithError(err).Error("The announced lease row cannot be read.")
 			}
 			continue
 		}
 		k.machine.Want(k.options.Eligible())
 		k.machine.SetActing(k.acting.Load())
-		// Whoever acts after this sees that it may not any more; earlier acts are noted,
-		// and step tells the machine of them before the row says that nobody acts.
+		// From here on TryAct sees that it may no longer act. Earlier actions are recorded already, and step passes them to
+		// the machine before the row says that the holder doesn't act.
 		k.publish()
 		k.step(ctx)
 	}
 }
 
-// release gives the lease back, so that nobody has to wait until it lapses.
+// release releases the lease, so that other daemons need not wait until it expires.
 func (k *Keeper) release() {
 	settings := k.options.Settings
 	ctx, cancel := context.WithTimeout(context.Background(), settings.Duration/callFraction)
@@ -165,7 +160,7 @@
 	}
 }
 
-// step makes the call that is due, if any.
+// step makes the table call that is due, if any.
 func (k *Keeper) step(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, k.options.Settings.Duration/callFraction)
 	defer cancel()
@@ -181,33 +176,33 @@
 		err = k.commit(ctx, action)
 	}
 	if err != nil {
-		k.options.Log.WithError(err).Error("The lease's row cannot be read.")
+		k.options.Log.WithError(err).Error("The lease row cannot be read.")
 	}
 	k.publish()
 }
 
-// read reads the row.
+// read reads the lease row and passes the result to the machine.
 func (k *Keeper) read(ctx context.Context, action lease.Read) error {
 	rows, err := k.options.Table.Read(ctx, action.Key)
-	return k.machine.ReadDone(k.options.Now(), rows, k.logged(err))
+	return k.machine.ReadDone(k.options.Now(), rows, k.logFailure(err))
 }
 
-// commit writes the row.
+// commit writes the lease row and passes the result to the machine.
 func (k *Keeper) commit(ctx context.Context, action lease.Commit) error {
 	rows, err := k.options.Table.Commit(ctx, action.Transaction)
-	return k.machine.CommitDone(k.options.Now(), rows, k.logged(err))
+	return k.machine.CommitDone(k.options.Now(), rows, k.logFailure(err))
 }
 
-// logged logs a failed call. Conflicts belong to the ordinary course.
-func (k *Keeper) logged(err error) error {
+// logFailure logs the error of a failed call and returns it. Conflicts are expected and not logged.
+func (k *Keeper) logFailure(err error) error {
 	var conflict *port.ConflictError
 	if err != nil && !errors.As(err, &conflict) {
-		k.options.Log.WithError(err).Debug("A call for the lease failed.")
+		k.options.Log.WithError(err).Debug("A table call for the lease failed.")
 	}
 	return err
 }
 
-// publish makes the machine's grant visible to Held.
+// publish makes the machine's grant and row visible to Held, MayAct and Row.
 func (k *Keeper) publish() {
 	now := k.options.Now()
 	before := k.grant.Load()
--- a/internal/leasekeeper/keeper_test.go
+++ b/internal/leasekeeper/keeper_test.go
@@ -17,10 +17,10 @@
 	"github.com/lotusward/lotusward/internal/port/porttest"
 )
 
-// duration is long enough that a busy machine renews in time.
+// duration is long enough that renewals are in time on a busy machine.
 const duration = 2 * time.Second
 
-// clock is the real clock plus a jump that stands for a pause.
+// clock is the real clock plus an offset that simulates a pause of the process.
 type clock struct{ jump atomic.Int64 }
 
 func (c *clock) now() time.Time { return time.Now().Add(time.Duration(c.jump.Load())) }
@@ -60,8 +60,8 @@
 	return token
 }
 
-// TestPauseOutageAndHandOver takes one lease through a holder's pause, an outage
-// of the table with lost answers, and an orderly stop of the holder.
+// TestPauseOutageAndHandOver runs one lease through a pause of the holder, an outage of the table with lost replies,
+// and an orderly stop of the holder.
 func TestPauseOutageAndHandOver(t *testing.T) {
 	table := porttest.NewService()
 
@@ -70,19 +70,19 @@
 	stopFirst := start(t, first.Run)
 	before := waitHeld(t, first)
 
-	// A holder that was paused past its lease sees at once that it lapsed.
+	// A holder that was paused beyond its lease sees immediately that it has expired.
 	table.Refuse(true)
 	clock.jump.Store(int64(duration))
 	_, held := first.Held()
 	assert.Assert(t, !held, "a paused holder must not act")
 
-	// Lost answers delay the next grant and don't repeat a token.
+	// Lost replies delay the next grant but don't repeat a token.
 	table.Refuse(false)
 	table.LoseEvery(2)
 	after := waitHeld(t, first)
 	assert.Assert(t, after > before, "token %d after %d", after, before)
 
-	// A holder that stops hands over.
+	// A holder that stops releases the lease to another one.
 	table.LoseEvery(0)
 	second := newKeeper(table, "second", &clock)
 	defer start(t, second.Run)()
