--- a/internal/weightupdate/keeper.go
+++ b/internal/weightupdate/keeper.go
@@ -149,14 +149,14 @@
 // startUpdates starts as many updates as the limits allow, and returns the back ends that are updated next.
 func (k *Keeper) startUpdates(ctx context.Context, model identity.ModelName, version uint64) []identity.BackendID {
 	now := clock.Now()
-	sound := healthyHolders(k.options.Pool.Holders(now, model))
-	behind := outdatedHolders(sound, version)
-	newer := len(sound) - len(behind)
+	healthy := healthyHolders(k.options.Pool.Holders(now, model))
+	outdated := outdatedHolders(healthy, version)
+	newer := len(healthy) - len(outdated)
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	pace := k.pace(now, model, sound, behind)
+	pace := k.pace(now, model, healthy, outdated)
 	k.maxLoading = pace.loading
-	waiting := slices.DeleteFunc(behind, func(holder backendpool.Holder) bool {
+	waiting := slices.DeleteFunc(outdated, func(holder backendpool.Holder) bool {
 		return k.working[holder.Backend.ID] || k.isSuspended(holder.Backend.ID)
 	})
 	sortByTurn(waiting, k.plan.Next)
--- a/internal/weightupdate/pace.go
+++ b/internal/weightupdate/pace.go
@@ -34,16 +34,16 @@
 
 // pace computes the limits for a model. They are low, so that the remaining back ends can carry the load, but high
 // enough to finish before the oldest weights reach their deadline. Back ends past their deadline can't begin requests,
-// so all of them may be unavailable. sound holds all back ends of the model that are neither ejected nor draining, and
-// behind those of them with older weights. The caller holds the mutex.
-func (k *Keeper) pace(now time.Time, model identity.ModelName, sound, behind []backendpool.Holder) pace {
+// so all of them may be unavailable. healthy holds all back ends of the model that are neither ejected nor draining,
+// and outdated those of them with older weights. The caller holds the mutex.
+func (k *Keeper) pace(now time.Time, model identity.ModelName, healthy, outdated []backendpool.Holder) pace {
 	reading := 0.0
-	for _, holder := range sound {
+	for _, holder := range healthy {
 		reading += holder.Reading
 	}
-	share := func(divisor int) int { return max((len(sound)+divisor/2)/divisor, 1) }
+	share := func(divisor int) int { return max((len(healthy)+divisor/2)/divisor, 1) }
 	usual := pace{loading: share(normalLoadDivisor), unavailable: share(normalLoadDivisor)}
-	if reading < lowReadingTokens*float64(len(sound)) {
+	if reading < lowReadingTokens*float64(len(healthy)) {
 		usual.unavailable = share(unavailableDivisor)
 	}
 	if k.options.DueBy == nil {
@@ -51,7 +51,7 @@
 	}
 	expired := 0
 	least := time.Duration(math.MaxInt64)
-	for _, holder := range behind {
+	for _, holder := range outdated {
 		due := k.options.DueBy(model, holder.Version)
 		if due.IsZero() {
 			continue
@@ -62,7 +62,7 @@
 		}
 	}
 	left := max(time.Duration(usableTimeShare*float64(least)), k.loadTime/2)
-	needed := int(math.Ceil(float64(len(behind)) * float64(k.loadTime) / float64(left)))
+	needed := int(math.Ceil(float64(len(outdated)) * float64(k.loadTime) / float64(left)))
 	loading := min(max(needed, usual.loading), share(urgentLoadDivisor))
 	return pace{loading: loading, unavailable: max(usual.unavailable, loading, expired)}
 }
--- a/internal/weightupdate/pace_test.go
+++ b/internal/weightupdate/pace_test.go
@@ -17,8 +17,8 @@
 
 // measuredPace returns the pace of an update of back ends to version 2.
 func measuredPace(keeper *Keeper, now time.Time, holders []backendpool.Holder) pace {
-	sound := healthyHolders(slices.Clone(holders))
-	return keeper.pace(now, "m", sound, outdatedHolders(sound, 2))
+	healthy := healthyHolders(slices.Clone(holders))
+	return keeper.pace(now, "m", healthy, outdatedHolders(healthy, 2))
 }
 
 // TestHasteGrowsAsTimeRunsOut checks that few back ends load at a time while the deadline is far, as many as the
