--- a/internal/namingrecord/merge.go
+++ b/internal/namingrecord/merge.go
@@ -7,33 +7,34 @@
 	"github.com/lotusward/lotusward/internal/directory"
 )
 
-// merge returns what the row holds and what this daemon knows together, by model and version. Of two
-// times of one version the row's stays, unless it is a guess.
-func merge(held, seen []directory.SeenVersion) []directory.SeenVersion {
-	merged := slices.Clone(held)
+// merge combines the versions stored in the row with those that this daemon knows, sorted by model and
+// version. If both have a time for a version, the stored one wins unless it is a guess (zero).
+func merge(stored, seen []directory.SeenVersion) []directory.SeenVersion {
+	merged := slices.Clone(stored)
 	for _, each := range seen {
-		place, known := slices.BinarySearchFunc(merged, each, compare)
+		index, known := slices.BinarySearchFunc(merged, each, compareVersions)
 		switch {
 		case !known:
-			merged = slices.Insert(merged, place, each)
-		case merged[place].StoreClock == 0:
-			merged[place] = each
+			merged = slices.Insert(merged, index, each)
+		case merged[index].StoreClock == 0:
+			merged[index] = each
 		}
 	}
-	return newest(merged)
+	return keepNewest(merged)
 }
 
-// inOrder sorts a list by model and version, each version once.
-func inOrder(list []directory.SeenVersion) []directory.SeenVersion {
-	slices.SortFunc(list, compare)
-	return slices.CompactFunc(list, func(left, right directory.SeenVersion) bool { return compare(left, right) == 0 })
+// sortUnique sorts a list by model and version and removes duplicate versions.
+func sortUnique(list []directory.SeenVersion) []directory.SeenVersion {
+	slices.SortFunc(list, compareVersions)
+	return slices.CompactFunc(list, func(left, right directory.SeenVersion) bool { return compareVersions(left, right) == 0 })
 }
 
-// newest keeps the newest versions of each model of a sorted list.
-func newest(sorted []directory.SeenVersion) []directory.SeenVersion {
+// keepNewest returns the newest maxVersionsPerModel versions of each model in a sorted list, whose array it
+// reuses.
+func keepNewest(sorted []directory.SeenVersion) []directory.SeenVersion {
 	kept := sorted[:0]
 	for index, each := range sorted {
-		later := index + keptVersions
+		later := index + maxVersionsPerModel
 		if later < len(sorted) && sorted[later].Model == each.Model {
 			continue
 		}
@@ -42,6 +43,6 @@
 	return kept
 }
 
-func compare(left, right directory.SeenVersion) int {
+func compareVersions(left, right directory.SeenVersion) int {
 	return cmp.Or(cmp.Compare(left.Model, right.Model), cmp.Compare(left.Version, right.Version))
 }
--- a/internal/namingrecord/namingrecord.go
+++ b/internal/namingrecord/namingrecord.go
@@ -1,7 +1,8 @@
-// Package namingrecord keeps in a row of the platform's store when versions of models' weights were last
-// known not to be named. A fleet that starts whole, of which nobody can tell another, reads it there: a
-// guess in its place lets requests begin on old weights for a few seconds only after the start, though
-// operators allow more, and refuses callers from then on until back ends have loaded.
+// Package namingrecord stores, in one row of the platform's store, when each version of a model's weights was
+// last known not to be named. When all daemons of a fleet start at once, none can learn these times from
+// another, so they are read from this row. A guess instead would admit requests on old weights only for a few
+// seconds after the start, although operators allow longer, and then refuse callers until back ends have
+// loaded the new weights.
 package namingrecord
 
 import (
@@ -22,78 +23,80 @@
 const (
 	// RowKey is the key of the row.
 	RowKey = "weights/named"
-	// interval is how often it is looked whether the row lacks something: a fleet that ends within it
-	// of a naming guesses.
-	interval = 50 * time.Millisecond
-	// callTimeout bounds a call for the row, and failurePause lies after one that failed.
-	callTimeout  = 700 * time.Millisecond
-	failurePause = 300 * time.Millisecond
-	// keptVersions is how many versions of a model the row holds at most, the newest.
-	keptVersions = 8
+	// syncInterval is how often the row is compared with what this daemon knows. A fleet that stops within
+	// this time after a naming has to guess the time at its next start.
+	syncInterval = 50 * time.Millisecond
+	// callTimeout bounds a read or write of the row; retryDelay is the wait after a failed one.
+	callTimeout = 700 * time.Millisecond
+	retryDelay  = 300 * time.Millisecond
+	// maxVersionsPerModel is how many versions of each model the row holds at most; older ones are dropped.
+	maxVersionsPerModel = 8
 )
 
-// Directory is what this daemon knows of namings.
+// Directory holds what this daemon knows about namings.
 type Directory interface {
-	// IsReader tells whether this daemon reads the store for all others: it alone keeps the row.
+	// IsReader reports whether this daemon reads the store on behalf of all others. Only the reader
+	// maintains the row.
 	IsReader() bool
-	// SeenVersions returns the known versions; the time of one that is a guess is zero.
+	// SeenVersions returns the known versions. A zero time marks a guess.
 	SeenVersions() []directory.SeenVersion
-	// AddSeenVersions takes in what the row holds, and tells the others of it.
+	// AddSeenVersions adds the versions read from the row and passes them on to the other daemons.
 	AddSeenVersions(ctx context.Context, seen []directory.SeenVersion)
 }
 
-// Options are what a Keeper works with.
+// Options configures a Keeper.
 type Options struct {
 	Table     port.TableService
 	Directory Directory
 	Log       logrus.FieldLogger
-	// Era counts how often the store has come back from a copy of before; nil is never.
+	// Era counts how often the store was restored from an earlier copy; nil means never.
 	Era port.EraSource
 }
 
-// Keeper keeps the row. Its state belongs to the goroutine of Run.
+// Keeper maintains the row. Only the goroutine that calls Run accesses its state.
 type Keeper struct {
 	options Options
-	// known is set while version and held are what the row holds, as far as this daemon knows.
-	known   bool
+	// loaded is set while version and stored match the row, as far as this daemon knows.
+	loaded  bool
 	version uint64
-	held    []directory.SeenVersion
-	// era is the store's of when the row was read.
+	stored  []directory.SeenVersion
+	// era is the store's era at the time when the row was read.
 	era uint64
-	// failing is set while calls for the row fail.
+	// failing is set while reads or writes of the row fail.
 	failing bool
 }
 
-// New makes a Keeper that does nothing until it runs.
+// New returns a Keeper that does nothing until Run is called.
 func New(options Options) *Keeper { return &Keeper{options: options} }
 
-// Run reads the row when this daemon comes to read the store for all, and writes what it lacks,
-// until the context ends.
+// Run reads the row when this daemon becomes the reader and then writes versions that the row lacks,
+// until the context is cancelled.
 func (k *Keeper) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := k.sync(ctx); err != nil {
-			k.noteFailure(err)
-			pause.For(ctx, failurePause)
+			k.logFirstFailure(err)
+			pause.For(ctx, retryDelay)
 		} else {
 			k.failing = false
 		}
-		pause.For(ctx, interval)
+		pause.For(ctx, syncInterval)
 	}
 	return nil
 }
 
-// noteFailure logs the first of some failed calls.
-func (k *Keeper) noteFailure(err error) {
+// logFirstFailure logs the first of several consecutive failures.
+func (k *Keeper) logFirstFailure(err error) {
 	if !k.failing {
-		k.options.Log.WithError(err).Warn("The row of named versions can't be read or written; it is tried again.")
+		k.options.Log.WithError(err).Warn("The row of named versions could not be read or written; retrying.")
 	}
 	k.failing = true
 }
 
-// sync makes the row and this daemon know the same. The error is that of a call.
+// sync brings the row and this daemon's directory to the same versions. It returns the error of a failed
+// store call.
 func (k *Keeper) sync(ctx context.Context) error {
 	if !k.options.Directory.IsReader() {
-		k.known = false
+		k.loaded = false
 		return nil
 	}
 	seen := k.options.Directory.SeenVersions()
@@ -102,43 +105,43 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if era := k.options.Era.Era(); era != k.era { // the row may be of before
-		k.era, k.known = era, false
+	if era := k.options.Era.Era(); era != k.era { // the restored row may be an older one
+		k.era, k.loaded = era, false
 	}
-	if !k.known {
+	if !k.loaded {
 		return k.read(bounded)
 	}
-	merged := merge(k.held, seen)
-	if slices.Equal(k.held, merged) {
+	merged := merge(k.stored, seen)
+	if slices.Equal(k.stored, merged) {
 		return nil
 	}
 	return k.write(bounded, merged)
 }
 
-// read takes in what the row holds. A row that can't be read tells nothing: guesses stay, and it is
-// written anew.
+// read loads the row and adds its versions to the directory. A malformed row counts as empty: guessed times
+// remain, and the row is overwritten.
 func (k *Keeper) read(ctx context.Context) error {
 	rows, err := k.options.Table.Read(ctx, RowKey)
 	if err != nil {
 		return err
 	}
-	k.known, k.version, k.held = true, 0, nil
+	k.loaded, k.version, k.stored = true, 0, nil
 	if len(rows) == 0 {
 		return nil
 	}
 	k.version = rows[0].Version
-	if err := codec.Unmarshal(rows[0].Value, &k.held); err != nil {
-		k.held = nil
-		k.options.Log.WithError(err).WithField("row", RowKey).Error("The row of named versions is malformed; it is written anew.")
+	if err := codec.Unmarshal(rows[0].Value, &k.stored); err != nil {
+		k.stored = nil
+		k.options.Log.WithError(err).WithField("row", RowKey).Error("The row of named versions is malformed; overwriting it.")
 		return nil
 	}
-	k.held = inOrder(k.held)
-	k.options.Log.WithFields(logrus.Fields{"row_version": k.version, "versions": len(k.held)}).Info("The row of named versions was read.")
-	k.options.Directory.AddSeenVersions(ctx, k.held)
+	k.stored = sortUnique(k.stored)
+	k.options.Log.WithFields(logrus.Fields{"row_version": k.version, "versions": len(k.stored)}).Info("The row of named versions was read.")
+	k.options.Directory.AddSeenVersions(ctx, k.stored)
 	return nil
 }
 
-// write replaces the row if it is as it was read. Otherwise it is read anew.
+// write replaces the row if it has not changed since it was read. Otherwise the next sync reads it again.
 func (k *Keeper) write(ctx context.Context, merged []directory.SeenVersion) error {
 	value, err := msgpack.Marshal(merged)
 	if err != nil {
@@ -149,13 +152,13 @@
 		Writes:     []port.Write{{Key: RowKey, Value: value}},
 	})
 	if err == nil && len(rows) > 0 {
-		k.version, k.held = rows[0].Version, merged
+		k.version, k.stored = rows[0].Version, merged
 		return nil
 	}
-	k.known = false
+	k.loaded = false
 	var conflict *port.ConflictError
 	if errors.As(err, &conflict) {
-		return nil // another daemon read for all in between
+		return nil // another daemon was the reader in the meantime
 	}
 	return err
 }
--- a/internal/namingrecord/namingrecord_test.go
+++ b/internal/namingrecord/namingrecord_test.go
@@ -17,35 +17,37 @@
 	"github.com/lotusward/lotusward/internal/port/porttest"
 )
 
-// belief is what a daemon knows of namings.
-type belief struct {
-	reads   bool
-	seen    []directory.SeenVersion
-	learned []directory.SeenVersion
+// fakeDirectory is a Directory that records the versions added to it.
+type fakeDirectory struct {
+	reader bool
+	seen   []directory.SeenVersion
+	added  []directory.SeenVersion
 }
 
-func (b *belief) IsReader() bool                                                  { return b.reads }
-func (b *belief) SeenVersions() []directory.SeenVersion                           { return b.seen }
-func (b *belief) AddSeenVersions(_ context.Context, told []directory.SeenVersion) { b.learned = told }
+func (b *fakeDirectory) IsReader() bool                        { return b.reader }
+func (b *fakeDirectory) SeenVersions() []directory.SeenVersion { return b.seen }
+func (b *fakeDirectory) AddSeenVersions(_ context.Context, told []directory.SeenVersion) {
+	b.added = told
+}
 
 func seen(version uint64, at time.Duration) directory.SeenVersion {
 	return directory.SeenVersion{Model: "m", Version: version, StoreClock: at}
 }
 
-func keeperOf(known *belief, table port.TableService) *Keeper {
+func newKeeper(known *fakeDirectory, table port.TableService) *Keeper {
 	return New(Options{Table: table, Directory: known, Log: logging.Discard()})
 }
 
-// steps has a keeper look a few times.
-func steps(t *testing.T, keeper *Keeper) {
+// syncRepeatedly calls sync three times: to read the row, to write it, and once more.
+func syncRepeatedly(t *testing.T, keeper *Keeper) {
 	t.Helper()
 	for range 3 {
 		assert.NilError(t, keeper.sync(context.Background()))
 	}
 }
 
-// rowOf returns what the row holds.
-func rowOf(t *testing.T, service *porttest.Service) []directory.SeenVersion {
+// readRow returns the versions stored in the row.
+func readRow(t *testing.T, service *porttest.Service) []directory.SeenVersion {
 	t.Helper()
 	rows := service.Table.Read([]string{RowKey})
 	assert.Equal(t, len(rows), 1)
@@ -54,36 +56,37 @@
 	return held
 }
 
-// TestNextReaderLearnsWhatTheLastOneKept writes what a reader saw, and gives it to one that guesses.
-func TestNextReaderLearnsWhatTheLastOneKept(t *testing.T) {
+// TestNewReaderLoadsStoredRow checks that a reader which only guesses a time learns the one that an earlier
+// reader stored.
+func TestNewReaderLoadsStoredRow(t *testing.T) {
 	service := porttest.NewService()
-	steps(t, keeperOf(&belief{reads: true, seen: []directory.SeenVersion{seen(1, 0), seen(2, 7*time.Second)}}, service))
-	starter := &belief{reads: true, seen: []directory.SeenVersion{seen(2, 0)}}
-	steps(t, keeperOf(starter, service))
+	syncRepeatedly(t, newKeeper(&fakeDirectory{reader: true, seen: []directory.SeenVersion{seen(1, 0), seen(2, 7*time.Second)}}, service))
+	starter := &fakeDirectory{reader: true, seen: []directory.SeenVersion{seen(2, 0)}}
+	syncRepeatedly(t, newKeeper(starter, service))
 	want := []directory.SeenVersion{seen(1, 0), seen(2, 7*time.Second)}
-	assert.DeepEqual(t, starter.learned, want)
-	assert.DeepEqual(t, rowOf(t, service), want)
+	assert.DeepEqual(t, starter.added, want)
+	assert.DeepEqual(t, readRow(t, service), want)
 }
 
-// TestOnlyTheReaderKeepsTheRow costs the others no call.
-func TestOnlyTheReaderKeepsTheRow(t *testing.T) {
+// TestOnlyReaderWritesRow checks that a daemon which is not the reader leaves the row unwritten.
+func TestOnlyReaderWritesRow(t *testing.T) {
 	service := porttest.NewService()
-	steps(t, keeperOf(&belief{seen: []directory.SeenVersion{seen(2, time.Second)}}, service))
+	syncRepeatedly(t, newKeeper(&fakeDirectory{seen: []directory.SeenVersion{seen(2, time.Second)}}, service))
 	assert.Equal(t, len(service.Table.Read([]string{RowKey})), 0)
 }
 
-// TestMalformedRowIsWrittenAnew learns nothing of it.
-func TestMalformedRowIsWrittenAnew(t *testing.T) {
+// TestMalformedRowIsOverwritten checks that a malformed row adds no versions and is replaced.
+func TestMalformedRowIsOverwritten(t *testing.T) {
 	service := porttest.NewService()
 	_, written := service.Table.Commit(port.Transaction{Writes: []port.Write{{Key: RowKey, Value: []byte("nonsense")}}})
 	assert.Assert(t, written)
-	known := &belief{reads: true, seen: []directory.SeenVersion{seen(2, time.Second)}}
-	steps(t, keeperOf(known, service))
-	assert.Assert(t, known.learned == nil)
-	assert.DeepEqual(t, rowOf(t, service), known.seen)
+	known := &fakeDirectory{reader: true, seen: []directory.SeenVersion{seen(2, time.Second)}}
+	syncRepeatedly(t, newKeeper(known, service))
+	assert.Assert(t, known.added == nil)
+	assert.DeepEqual(t, readRow(t, service), known.seen)
 }
 
-// FuzzRow reads whatever anybody may have left in the row: nothing panics, and what is written next is in order.
+// FuzzRow checks that arbitrary row contents cause no panic and that the stored list is sorted afterwards.
 func FuzzRow(f *testing.F) {
 	for _, held := range [][]directory.SeenVersion{nil, {seen(2, time.Second), seen(1, 0), seen(2, 0)}, {seen(9, -time.Hour)}} {
 		value, err := msgpack.Marshal(held)
@@ -95,41 +98,42 @@
 		service := porttest.NewService()
 		_, written := service.Table.Commit(port.Transaction{Writes: []port.Write{{Key: RowKey, Value: value}}})
 		assert.Assert(t, written)
-		known := &belief{reads: true, seen: []directory.SeenVersion{seen(3, time.Second)}}
-		keeper := keeperOf(known, service)
-		steps(t, keeper)
-		assert.Assert(t, slices.IsSortedFunc(keeper.held, compare))
-		assert.Assert(t, slices.ContainsFunc(keeper.held, func(each directory.SeenVersion) bool { return each.Model == "m" }))
+		known := &fakeDirectory{reader: true, seen: []directory.SeenVersion{seen(3, time.Second)}}
+		keeper := newKeeper(known, service)
+		syncRepeatedly(t, keeper)
+		assert.Assert(t, slices.IsSortedFunc(keeper.stored, compareVersions))
+		assert.Assert(t, slices.ContainsFunc(keeper.stored, func(each directory.SeenVersion) bool { return each.Model == "m" }))
 	})
 }
 
-// TestTwoReadersKeepBoth has a second daemon write in between.
-func TestTwoReadersKeepBoth(t *testing.T) {
+// TestConcurrentReadersMergeRow checks that no version is lost if another daemon writes the row between two
+// writes of the first.
+func TestConcurrentReadersMergeRow(t *testing.T) {
 	service := porttest.NewService()
-	first := &belief{reads: true, seen: []directory.SeenVersion{seen(1, time.Second)}}
-	keeper := keeperOf(first, service)
-	steps(t, keeper)
-	steps(t, keeperOf(&belief{reads: true, seen: []directory.SeenVersion{seen(2, 2*time.Second)}}, service))
+	first := &fakeDirectory{reader: true, seen: []directory.SeenVersion{seen(1, time.Second)}}
+	keeper := newKeeper(first, service)
+	syncRepeatedly(t, keeper)
+	syncRepeatedly(t, newKeeper(&fakeDirectory{reader: true, seen: []directory.SeenVersion{seen(2, 2*time.Second)}}, service))
 	first.seen = append(first.seen, seen(3, 3*time.Second))
-	steps(t, keeper)
-	assert.DeepEqual(t, rowOf(t, service), []directory.SeenVersion{seen(1, time.Second), seen(2, 2*time.Second), seen(3, 3*time.Second)})
+	syncRepeatedly(t, keeper)
+	assert.DeepEqual(t, readRow(t, service), []directory.SeenVersion{seen(1, time.Second), seen(2, 2*time.Second), seen(3, 3*time.Second)})
 }
 
-// TestLostCallsAreMadeAgain ends with the row as it should be, whichever answers are lost.
-func TestLostCallsAreMadeAgain(t *testing.T) {
+// TestLostCallsAreRetried checks that the row is complete in the end if every second answer is lost.
+func TestLostCallsAreRetried(t *testing.T) {
 	service := porttest.NewService()
 	service.LoseEvery(2)
-	known := &belief{reads: true, seen: []directory.SeenVersion{seen(1, time.Second)}}
-	keeper := keeperOf(known, service)
+	known := &fakeDirectory{reader: true, seen: []directory.SeenVersion{seen(1, time.Second)}}
+	keeper := newKeeper(known, service)
 	for range 8 {
 		_ = keeper.sync(context.Background())
 	}
-	assert.DeepEqual(t, rowOf(t, service), known.seen)
+	assert.DeepEqual(t, readRow(t, service), known.seen)
 }
 
-// TestMergeKeepsTimes holds merging against a map: a time is never replaced, a guess by any time, and the
-// newest versions of each model stay.
-func TestMergeKeepsTimes(t *testing.T) {
+// TestMergePrefersStoredTimes compares merge with a map: a stored time is never replaced, a guess is replaced
+// by any time, and the newest versions of each model remain.
+func TestMergePrefersStoredTimes(t *testing.T) {
 	type version struct {
 		model  identity.ModelName
 		number uint64
@@ -148,8 +152,8 @@
 		for _, each := range drawn {
 			sorted = append(sorted, each)
 		}
-		slices.SortFunc(sorted, compare)
-		return newest(sorted)
+		slices.SortFunc(sorted, compareVersions)
+		return keepNewest(sorted)
 	})
 	rapid.Check(t, func(t *rapid.T) {
 		held, known := list.Draw(t, "held"), list.Draw(t, "seen")
@@ -170,8 +174,8 @@
 			delete(want, at)
 			perModel[each.Model]++
 		}
-		for left := range want { // what was left out is older than all that stayed
-			assert.Equal(t, perModel[left.model], keptVersions)
+		for left := range want { // dropped versions are older than all kept ones
+			assert.Equal(t, perModel[left.model], maxVersionsPerModel)
 			for _, each := range merged {
 				assert.Assert(t, each.Model != left.model || each.Version > left.number)
 			}
--- a/internal/namingrecord/wire_test.go
+++ b/internal/namingrecord/wire_test.go
@@ -7,7 +7,7 @@
 	"github.com/lotusward/lotusward/internal/wiretest"
 )
 
-// TestOtherBuildsAreUnderstood holds what passes to other builds to the bytes that they write.
+// TestOtherBuildsAreUnderstood checks the row against the bytes that other builds write.
 func TestOtherBuildsAreUnderstood(t *testing.T) {
 	wiretest.Row[[]directory.SeenVersion](t, "naming_row", nil)
 }
