--- a/internal/members/keep.go
+++ b/internal/members/keep.go
@@ -10,17 +10,17 @@
 	"github.com/lotusward/lotusward/internal/pause"
 )
 
-// announceSpread spreads the writes of many daemons whose rows a store has lost at once, and the
-// next tries after a call that failed.
-const announceSpread = time.Second
+// announceJitter spreads the writes of many daemons whose rows the store lost at once, and the retries after
+// failed calls.
+const announceJitter = time.Second
 
-// noteDisplaced has the own row written again where the list has the own name at another address since the
-// store came back from a copy: that holds the row of the process before this one. Otherwise the next process
-// of the name has begun.
-func (l *List) noteDisplaced(list []member.Descriptor) {
+// checkDisplaced schedules a rewrite of this daemon's row if the list has this daemon's name at another address
+// after the store was restored from a copy: the copy then holds the row of the previous process. Without a
+// restore, the other address belongs to the next process of that name, and the row stays.
+func (l *List) checkDisplaced(list []member.Descriptor) {
 	own := l.options.Own
-	returned := l.options.Era.Era() > l.announcedIn.Load()
-	displaced := own.Name != 0 && returned && slices.ContainsFunc(list, func(each member.Descriptor) bool {
+	restored := l.options.Era.Era() > l.announcedEra.Load()
+	displaced := own.Name != 0 && restored && slices.ContainsFunc(list, func(each member.Descriptor) bool {
 		return each.Name == own.Name && each.Address != own.Address
 	})
 	if !displaced {
@@ -28,11 +28,11 @@
 	}
 	select {
 	case l.displaced <- struct{}{}:
-	default: // it is due already
+	default: // a rewrite is already scheduled
 	}
 }
 
-// Run writes the own row again whenever another one stands in its place, until the context ends.
+// Run rewrites this daemon's row whenever checkDisplaced has found it replaced, until the context is cancelled.
 func (l *List) Run(ctx context.Context) error {
 	for {
 		select {
@@ -40,19 +40,20 @@
 			return nil
 		case <-l.displaced:
 		}
-		pause.For(ctx, rand.N(announceSpread))
-		l.announceAgain(ctx)
+		pause.For(ctx, rand.N(announceJitter))
+		l.restoreOwnRow(ctx)
 	}
 }
 
-func (l *List) announceAgain(ctx context.Context) {
+// restoreOwnRow writes this daemon's row, retrying until that succeeds or the context is cancelled.
+func (l *List) restoreOwnRow(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := l.announce(ctx)
 		if err == nil {
-			l.options.Log.Info("A former row of this daemon was in place of its own. It is written again.")
+			l.options.Log.Info("An earlier row had replaced this daemon's row; the current one was written again.")
 			return
 		}
-		l.options.Log.WithError(err).Warn("The own row can't be written. It is tried again.")
-		pause.For(ctx, announceSpread+rand.N(announceSpread))
+		l.options.Log.WithError(err).Warn("This daemon's row could not be written; retrying.")
+		pause.For(ctx, announceJitter+rand.N(announceJitter))
 	}
 }
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -20,7 +20,7 @@
 	"github.com/lotusward/lotusward/internal/port"
 )
 
-// memoryTable is a table that fails for the first calls.
+// memoryTable is an in-memory table whose first calls fail, as many as failures says.
 type memoryTable struct {
 	port.TableService
 	mutex    sync.Mutex
@@ -60,7 +60,7 @@
 	return rows, nil
 }
 
-// describe describes a daemon by its address alone.
+// describe returns a descriptor that holds only an address.
 func describe(address string) member.Descriptor {
 	return member.Descriptor{Address: address, Capacity: member.UnknownCapacity}
 }
@@ -69,8 +69,8 @@
 	return New(Options{Self: identity.DaemonID(self), Own: describe(address), Table: table, Log: logging.Discard(), Changed: changed, Era: func() uint64 { return table.era }})
 }
 
-// TestDaemonsFindEachOther announces a daemon once, although the table fails at first, and
-// finds others around it, wherever its row lies; it tells about how many there are.
+// TestDaemonsFindEachOther checks that a failed store call is reported, and that each daemon finds others
+// wherever its key lies, estimates their number, and does not write an existing row again.
 func TestDaemonsFindEachOther(t *testing.T) {
 	const daemons = 200
 	table := &memoryTable{failures: 1, rows: map[string]port.Row{}}
@@ -85,17 +85,17 @@
 	}
 	table.writes = 0
 	for _, list := range lists {
-		contacts, about, err := list.Find(context.Background())
+		contacts, estimate, err := list.Find(context.Background())
 		assert.NilError(t, err)
-		assert.Assert(t, len(contacts) > 0 && len(contacts) <= contactRows, "%d contacts", len(contacts))
+		assert.Assert(t, len(contacts) > 0 && len(contacts) <= scanLimit, "%d contacts", len(contacts))
 		assert.Assert(t, !slices.Contains(contacts, list.options.Own.Address))
-		assert.Assert(t, about >= 1 && about < 20*daemons, "about %d", about)
+		assert.Assert(t, estimate >= 1 && estimate < 20*daemons, "estimate %d", estimate)
 	}
 	assert.Equal(t, table.writes, 0, "rows that were there were written again")
 }
 
-// TestMovedDaemonIsAnnouncedAgain writes the row anew when the address is another one.
-func TestMovedDaemonIsAnnouncedAgain(t *testing.T) {
+// TestChangedAddressRewritesRow checks that a daemon whose address has changed replaces its row.
+func TestChangedAddressRewritesRow(t *testing.T) {
 	table := &memoryTable{rows: map[string]port.Row{}}
 	for _, address := range []string{"10.0.0.1:7340", "10.0.0.2:7340"} {
 		_, _, err := newList(table, "a", address, func(int) {}).Find(context.Background())
@@ -105,8 +105,8 @@
 	assert.Equal(t, len(table.rows), 1)
 }
 
-// TestCountFollowsTheRows assumes many daemons until they are known.
-func TestCountFollowsTheRows(t *testing.T) {
+// TestCountMatchesRows checks that assumedCount is reported until the daemons are known, and then their number.
+func TestCountMatchesRows(t *testing.T) {
 	var counts []int
 	list := newList(&memoryTable{}, "self", "10.0.0.1:7340", func(count int) { counts = append(counts, count) })
 	list.Heard("10.0.0.7:7340")
@@ -119,16 +119,16 @@
 	assert.Equal(t, list.Count(), 3)
 }
 
-// TestMalformedKeyTellsNoDistance counts the rows themselves where one of their keys can't be read.
-func TestMalformedKeyTellsNoDistance(t *testing.T) {
+// TestEstimateWithMalformedKey checks that the rows are counted if one of their keys is malformed.
+func TestEstimateWithMalformedKey(t *testing.T) {
 	rows := []port.Row{{Key: KeyPrefix + "no hash"}, {Key: rowKey("a")}, {Key: rowKey("b")}}
-	assert.Equal(t, about(rows), 3)
-	assert.Equal(t, about([]port.Row{{Key: KeyPrefix + "0000000000000000"}, {Key: KeyPrefix + "1000000000000000"}}), 16)
+	assert.Equal(t, estimateCount(rows), 3)
+	assert.Equal(t, estimateCount([]port.Row{{Key: KeyPrefix + "0000000000000000"}, {Key: KeyPrefix + "1000000000000000"}}), 16)
 }
 
-// TestDaemonIsDescribed tells zone and room of daemons, those that a starter meets too, and
-// describes one anew that has started again at the same address as another machine.
-func TestDaemonIsDescribed(t *testing.T) {
+// TestZoneAndCapacity checks the zone and capacity of daemons, including those that Find reads at the start, and
+// that they are updated if a daemon restarts at the same address on another machine.
+func TestZoneAndCapacity(t *testing.T) {
 	table := &memoryTable{rows: map[string]port.Row{}}
 	first := member.Descriptor{Address: "10.0.0.1:7340", Zone: "north-a", Capacity: 9}
 	newDescribed(t, table, "a", first)
@@ -147,7 +147,7 @@
 	assert.Equal(t, list.Capacity("10.0.0.1:7340"), 1.0)
 }
 
-// newDescribed makes a list of a daemon that has found the others.
+// newDescribed returns the list of a daemon with a full descriptor, after Find.
 func newDescribed(t *testing.T, table *memoryTable, self string, own member.Descriptor) *List {
 	t.Helper()
 	list := New(Options{Self: identity.DaemonID(self), Own: own, Table: table, Log: logging.Discard(), Changed: func(int) {}, Era: func() uint64 { return 0 }})
@@ -156,8 +156,8 @@
 	return list
 }
 
-// TestRowOfAddressAloneIsRead takes what a daemon wrote that told its address alone.
-func TestRowOfAddressAloneIsRead(t *testing.T) {
+// TestRowWithAddressOnly checks that a row of an older build, which holds only an address, is accepted.
+func TestRowWithAddressOnly(t *testing.T) {
 	key := rowKey("old")
 	table := &memoryTable{rows: map[string]port.Row{key: {Key: key, Value: []byte("10.0.0.1:7340")}}}
 	list := newList(table, "self", "10.0.0.2:7340", func(int) {})
@@ -166,19 +166,20 @@
 	assert.DeepEqual(t, contacts, []string{"10.0.0.1:7340"})
 }
 
-// TestFormerAddressesAreForgotten replaces the list many times: only what it holds is kept.
-func TestFormerAddressesAreForgotten(t *testing.T) {
+// TestSetDropsFormerAddresses checks that descriptors do not accumulate when the list is replaced many times.
+func TestSetDropsFormerAddresses(t *testing.T) {
 	list := newList(&memoryTable{rows: map[string]port.Row{}}, "self", "10.0.0.9:7340", func(int) {})
 	for number := range 20 {
 		list.Set([]member.Descriptor{{Address: fmt.Sprintf("10.0.0.1:%d", number), Zone: "north-a", Capacity: 2}})
 	}
-	assert.Equal(t, len(*list.described.Load()), 1)
+	assert.Equal(t, len(*list.descriptors.Load()), 1)
 	assert.Equal(t, list.Zone("10.0.0.1:19"), identity.Zone("north-a"))
 	assert.Equal(t, list.Zone("10.0.0.1:18"), identity.Zone(""))
 }
 
-// TestOwnRowIsWrittenAgainInPlaceOfAFormerOne has a store come back from a copy with the row of the process before.
-func TestOwnRowIsWrittenAgainInPlaceOfAFormerOne(t *testing.T) {
+// TestDisplacedRowIsRewritten checks that a daemon rewrites its row if the store is restored from a copy that
+// holds the row of the previous process, and only then.
+func TestDisplacedRowIsRewritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &memoryTable{rows: map[string]port.Row{}}
 		own, former, other := describe("10.0.0.2:1"), describe("10.0.0.1:1"), describe("10.0.0.3:1")
