--- a/cmd/internal/daemon/wire.go
+++ b/cmd/internal/daemon/wire.go
@@ -186,7 +186,7 @@
 		traffic.sent(peerlink.KindOf(datagram).String(), w.distanceTo(to), len(datagram))
 	})
 	w.link.ObserveMalformed(func(kind peerlink.Kind) { traffic.malformed.WithLabelValues(kind.String()).Inc() })
-	crossing := peerlink.NewCrossing(w.link, w.topology, presence.NewSilence(w.presence))
+	crossing := peerlink.NewCrossing(w.link, w.topology, presence.NewUnresponsive(w.presence))
 	w.broadcast = peerlink.NewBroadcaster(w.link, w.topology, crossing)
 	w.tree = peerlink.NewTree(w.link, w.topology, crossing)
 	return crossing
--- a/internal/crashwatch/fleet_test.go
+++ b/internal/crashwatch/fleet_test.go
@@ -89,7 +89,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
 	topology := peerlink.Topology{Others: m.others, Region: m.fleet.region}
-	crossing := peerlink.NewCrossing(m, topology, presence.NewSilence(presence.New()))
+	crossing := peerlink.NewCrossing(m, topology, presence.NewUnresponsive(presence.New()))
 	tree := peerlink.NewTree(m, topology, crossing)
 	go func() { _ = tree.Run(ctx) }()
 	m.watcher = New(Options{
--- a/internal/loadhome/loadhome.go
+++ b/internal/loadhome/loadhome.go
@@ -62,7 +62,7 @@
 	loads         *loadTable
 	questions     *peerlink.Questions[peerAnswer[answerMessage]]
 	partQuestions *peerlink.Questions[peerAnswer[partAnswer]]
-	silence       *presence.Silence
+	silence       *presence.Unresponsive
 	groups        *peerlink.Groups
 	// listed is signalled when back ends were listed. limitsReceived is set once another daemon has sent limits.
 	// limitQuestionsLeft is how often limits may still be requested; only the goroutine of Run uses it.
@@ -82,7 +82,7 @@
 func New(options Options) *Homes {
 	made := &Homes{
 		options: options, self: options.Link.Address(), loads: newLoadTable(),
-		questions: peerlink.NewQuestions[peerAnswer[answerMessage]](), partQuestions: peerlink.NewQuestions[peerAnswer[partAnswer]](), silence: presence.NewSilence(options.Presence),
+		questions: peerlink.NewQuestions[peerAnswer[answerMessage]](), partQuestions: peerlink.NewQuestions[peerAnswer[partAnswer]](), silence: presence.NewUnresponsive(options.Presence),
 		listed: make(chan struct{}, 1), limitQuestionsLeft: maxLimitQuestions,
 	}
 	made.sameRegionRTT.sameRegion = true
@@ -198,7 +198,7 @@
 // firstResponding returns the first home that did not time out recently, or the first one if all did.
 func (h *Homes) firstResponding(now time.Time, homes []string) string {
 	for _, home := range homes {
-		if home == h.self || !h.silence.Is(home, now) {
+		if home == h.self || !h.silence.Contains(home, now) {
 			return home
 		}
 	}
@@ -222,7 +222,7 @@
 func (h *Homes) recordTimeouts(byHome map[string][]uint64) {
 	now, otherRegion, otherZone := clock.Now(), false, false
 	for home := range byHome {
-		h.silence.Note(home, now)
+		h.silence.Add(home, now)
 		otherRegion = otherRegion || h.isOtherRegion(home)
 		otherZone = otherZone || !(h.isOtherRegion(home) || h.isOwnZone(home))
 	}
--- a/internal/peerlink/crossing.go
+++ b/internal/peerlink/crossing.go
@@ -34,7 +34,7 @@
 type Crossing struct {
 	carrier   Carrier
 	topology  Topology
-	silence   *presence.Silence
+	silence   *presence.Unresponsive
 	questions *Questions[struct{}]
 	// places is a semaphore with a place for each crossing that is under way.
 	places     chan struct{}
@@ -45,7 +45,7 @@
 type taken struct{ Number uint64 }
 
 // NewCrossing makes a Crossing. Silence knows which daemons did not answer lately.
-func NewCrossing(carrier Carrier, topology Topology, silence *presence.Silence) *Crossing {
+func NewCrossing(carrier Carrier, topology Topology, silence *presence.Unresponsive) *Crossing {
 	made := &Crossing{
 		carrier: carrier, topology: topology, silence: silence, questions: NewQuestions[struct{}](),
 		places: make(chan struct{}, crossingsAtOnce),
@@ -84,7 +84,7 @@
 			c.roundTrips.Note(region, clock.Since(sent))
 			return
 		}
-		c.silence.Note(root, clock.Now())
+		c.silence.Add(root, clock.Now())
 	}
 }
 
@@ -94,7 +94,7 @@
 	now := clock.Now()
 	var answering, silent []string
 	for _, address := range c.topology.Rank(rendezvous.Score(number, c.carrier.Address()), there) {
-		if c.silence.Is(address, now) {
+		if c.silence.Contains(address, now) {
 			silent = append(silent, address)
 		} else {
 			answering = append(answering, address)
--- a/internal/peerlink/region_test.go
+++ b/internal/peerlink/region_test.go
@@ -99,7 +99,7 @@
 		},
 	}
 	peerlink.HandleDecoded(node, peerlink.KindPlan, func(from string, text string) { r.note(address, from+" "+text) })
-	crossing := peerlink.NewCrossing(node, topology, presence.NewSilence(list))
+	crossing := peerlink.NewCrossing(node, topology, presence.NewUnresponsive(list))
 	tree, broadcaster := peerlink.NewTree(node, topology, crossing), peerlink.NewBroadcaster(node, topology, crossing)
 	r.nodes[address], r.trees[address], r.broadcasters[address] = node, tree, broadcaster
 	go func() { _ = tree.Run(t.Context()) }()
--- a/internal/peerlink/tree_test.go
+++ b/internal/peerlink/tree_test.go
@@ -89,7 +89,7 @@
 
 // newCrossing makes a crossing of a daemon that knows one region.
 func newCrossing(carrier Carrier) *Crossing {
-	return NewCrossing(carrier, Topology{Others: func() []string { return nil }}, presence.NewSilence(presence.New()))
+	return NewCrossing(carrier, Topology{Others: func() []string { return nil }}, presence.NewUnresponsive(presence.New()))
 }
 
 func without(addresses []string, address string) []string {
--- a/internal/presence/presence.go
+++ b/internal/presence/presence.go
@@ -54,14 +54,14 @@
 	return p.heardAt[address]
 }
 
-// Time is within which a daemon among some must have been heard to be present.
-func Time(daemons int) time.Duration {
+// Window is within which a daemon among some must have been heard to be present.
+func Window(daemons int) time.Duration {
 	return min(max(time.Duration(daemons)*presencePerDaemon, leastPresence), mostPresence)
 }
 
 // Present tells whether a daemon among some was heard lately.
 func (p *List) Present(now time.Time, daemons int, address string) bool {
-	return p.HeardSince(address, now.Add(-Time(daemons)))
+	return p.HeardSince(address, now.Add(-Window(daemons)))
 }
 
 // HomeShare is the share of a limit's rate that a tenant's home grants among some daemons:
@@ -69,7 +69,7 @@
 // homes that a cut keeps apart so add up to little more than the rate. Those that are apart
 // don't count: they are heard and don't hear; nil is none.
 func (p *List) HomeShare(now time.Time, daemons int, apart func(address string) bool) float64 {
-	return ShareOf(p.present(now.Add(-Time(daemons)), apart)+1, daemons)
+	return ShareOf(p.present(now.Add(-Window(daemons)), apart)+1, daemons)
 }
 
 // ShareOf is the share of a limit's rate that some of all daemons may have together: their part, and
--- a/internal/sharedlimit/limiter.go
+++ b/internal/sharedlimit/limiter.go
@@ -71,7 +71,7 @@
 	options   Options
 	self      string
 	questions *peerlink.Questions[quota.Decision]
-	silence   *presence.Silence
+	silence   *presence.Unresponsive
 	// roundTrips measures how long answers take, by region.
 	roundTrips peerlink.RoundTrips
 
@@ -98,9 +98,9 @@
 	now := options.Now()
 	made := &Limiter{
 		options: options, self: options.Link.Address(),
-		questions: peerlink.NewQuestions[quota.Decision](), silence: presence.NewSilence(options.Presence),
+		questions: peerlink.NewQuestions[quota.Decision](), silence: presence.NewUnresponsive(options.Presence),
 		// Daemons that found this one unresponsive ask another one for that long.
-		grants: quota.NewLimiter(now.Add(presence.SilentTime), options.Margin), localShares: quota.NewLimiter(now, 0),
+		grants: quota.NewLimiter(now.Add(presence.UnresponsiveTime), options.Margin), localShares: quota.NewLimiter(now, 0),
 		abandoned: map[uint64]time.Time{}, partitionedAt: map[identity.Region]time.Time{}, seenRegions: map[identity.Region]bool{}, startedAt: now,
 	}
 	peerlink.HandleDecoded(options.Link, peerlink.KindLimitAsk, made.receiveQuestion)
@@ -154,7 +154,7 @@
 			decision := l.decide(request, ranking[0])
 			return Grant{Decision: decision, Grantor: address, Limit: limit, Cost: cost, number: request.Key.Number}
 		}
-		if l.silence.Is(address, l.options.Now()) {
+		if l.silence.Contains(address, l.options.Now()) {
 			continue
 		}
 		if decision, answered := l.ask(ctx, address, request); answered {
@@ -268,7 +268,7 @@
 
 // recordTimeout records that a daemon did not answer in time.
 func (l *Limiter) recordTimeout(address string, owner quota.Owner) {
-	if l.silence.Note(address, l.options.Now()) {
+	if l.silence.Add(address, l.options.Now()) {
 		l.options.Log.WithFields(logrus.Fields{"daemon": address, "owner": owner}).
 			Warn("A daemon doesn't answer for a limit. The next one is asked.")
 	}
--- a/internal/sharedlimit/region.go
+++ b/internal/sharedlimit/region.go
@@ -41,7 +41,7 @@
 	if fromRegion {
 		l.seenRegions[region] = true
 	}
-	return anyone && !fromRegion && (l.seenRegions[region] || now.Sub(l.startedAt) > presence.Time(l.options.Count()))
+	return anyone && !fromRegion && (l.seenRegions[region] || now.Sub(l.startedAt) > presence.Window(l.options.Count()))
 }
 
 // recentlyHeard reports whether any other daemon was heard recently, and whether any of the given region was.
