--- a/internal/presence/silence.go
+++ b/internal/presence/silence.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// UnresponsiveTime is for how long a daemon that did not answer is not asked, or until it is
-	// heard again, but leastSilentTime at least.
-	UnresponsiveTime = time.Second
-	leastSilentTime  = 150 * time.Millisecond
+	// UnresponsiveTime is for how long a daemon that did not answer is skipped. Being heard again ends this
+	// earlier, but only if the daemon is heard more than minUnresponsiveTime after the missing answer.
+	UnresponsiveTime    = time.Second
+	minUnresponsiveTime = 150 * time.Millisecond
 )
 
-// Unresponsive notes which daemons did not answer a question, so that others are asked in their
-// place for a moment. It is safe for use by several goroutines.
+// Unresponsive records which daemons did not answer a request, so that others are asked in their place for
+// UnresponsiveTime. It is safe for use by several goroutines.
 type Unresponsive struct {
 	list  *List
 	mutex sync.Mutex
-	// since is since when a daemon is silent.
+	// since holds, by address, when a daemon last failed to answer.
 	since map[string]time.Time
 }
 
-// NewUnresponsive makes an Unresponsive of daemons that a list knows of.
+// NewUnresponsive returns an empty Unresponsive that learns from list which daemons were heard again.
 func NewUnresponsive(list *List) *Unresponsive {
 	return &Unresponsive{list: list, since: map[string]time.Time{}}
 }
 
-// Add notes that a daemon did not answer, and forgets what is past. It returns true if it had
-// answered before.
+// Add records that a daemon did not answer and deletes expired entries. It returns true if there was no earlier
+// entry for the daemon.
 func (s *Unresponsive) Add(address string, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -38,7 +38,7 @@
 	return !found
 }
 
-// Contains tells whether a daemon is not to be asked.
+// Contains reports whether a daemon is currently to be skipped.
 func (s *Unresponsive) Contains(address string, now time.Time) bool {
 	s.mutex.Lock()
 	since, found := s.since[address]
@@ -46,5 +46,5 @@
 	if !found || now.Sub(since) > UnresponsiveTime {
 		return false
 	}
-	return !s.list.HeardSince(address, since.Add(leastSilentTime))
+	return !s.list.HeardSince(address, since.Add(minUnresponsiveTime))
 }
--- a/internal/presence/suspension_test.go
+++ b/internal/presence/suspension_test.go
@@ -10,10 +10,10 @@
 	"github.com/lotusward/lotusward/internal/clock/clocktest"
 )
 
-// TestSuspendedHomeGrantsNoWholeLimit suspends the machine of a tenant's home while another
-// daemon grants in its place: until it hears the others again it grants its own part alone. By a
-// clock that stands still it would grant the whole rate at once, beside the other one.
-func TestSuspendedHomeGrantsNoWholeLimit(t *testing.T) {
+// TestResumedHomeGrantsOnlyOwnShare guards against granting a rate twice after the machine of a tenant's home was
+// suspended and another daemon granted in its place. The home must grant only its own share until it hears the
+// others again. With a clock that stops during the suspension, it would grant the whole rate at once.
+func TestResumedHomeGrantsOnlyOwnShare(t *testing.T) {
 	const daemons = 8
 	machine, list := clocktest.New(), New()
 	for index := range daemons - 1 {
@@ -22,5 +22,5 @@
 	assert.Equal(t, list.HomeShare(machine.Now(), daemons, nil), 1.0)
 	machine.Suspend(5 * time.Second)
 	assert.Equal(t, list.HomeShare(machine.Steady(), daemons, nil), 1.0)
-	assert.Assert(t, list.HomeShare(machine.Now(), daemons, nil) <= 1.0/daemons/enoughPresent)
+	assert.Assert(t, list.HomeShare(machine.Now(), daemons, nil) <= 1.0/daemons/fullRateShare)
 }
