--- a/internal/callerio/callerio.go
+++ b/internal/callerio/callerio.go
@@ -1,5 +1,5 @@
 // Package callerio carries callers' connections and requests within what the daemon may hold for them: it accounts for
-// connections and bodies in a buffers.Ledger, keeps the kernel's buffers small, and breaks off who is ended there.
+// connections and bodies in a buffers.Tracker, keeps the kernel's buffers small, and breaks off who is ended there.
 package callerio
 
 import (
